--- /dev/null
+++ b/tests/golden_test.cpp
@@ -0,0 +1,483 @@
+// The form of everything that leaves a process or outlives it, as literals: stored records,
+// messages on the wire and between nodes, the settings and the features file. None may change by a
+// byte, or other versions, workers and users would not understand it.
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "base/features.hpp"
+#include "base/settings.hpp"
+#include "duties/records.hpp"
+#include "store/records.hpp"
+#include "wire/cloud.hpp"
+#include "wire/peer.hpp"
+#include "wire/state.hpp"
+#include "wire/user.hpp"
+#include "wire/worker.hpp"
+
+namespace {
+
+using namespace asterstair;
+
+const char* const kGangJob =
+    R"({"accelerators":1.0,"bookmarkS":30.0,"bundle":"img-07","cores":8.0,"dueS":900.0,)"
+    R"("expectS":240.0,"flavors":["g8"],"imageGb":6.2,"lane":"train","loaner":true,)"
+    R"("owner":"vision","pieces":16,"ramGb":64.0,"rank":"high","ref":"req-000412",)"
+    R"("scatter":false,"shape":"ensemble","stashS":4.0,"together":true,"yard":"a"})";
+
+const char* const kArrayJob =
+    R"({"accelerators":0.0,"bookmarkS":0.0,"bundle":"img-01","cores":0.5,"expectS":12.0,)"
+    R"("imageGb":0.1,"lane":"sweep","loaner":false,"owner":"red","pieces":100000,"ramGb":1.0,)"
+    R"("rank":"idle","ref":"req-1","scatter":true,"shape":"batch","stashS":0.0,"together":false})";
+
+std::string hex(const std::string& bytes) {
+  constexpr const char* kDigits = "0123456789abcdef";
+  std::string out;
+  for (const char c : bytes) {
+    const auto byte = static_cast<unsigned char>(c);
+    out += kDigits[byte >> 4U];
+    out += kDigits[byte & 0xfU];
+  }
+  return out;
+}
+
+std::string unhex(const std::string& digits) {
+  std::string out;
+  for (std::size_t i = 0; i + 1 < digits.size(); i += 2) {
+    out += static_cast<char>(std::stoi(digits.substr(i, 2), nullptr, 16));
+  }
+  return out;
+}
+
+void expect_request(const HttpRequest& request, const char* method, const char* target,
+                    const char* body) {
+  EXPECT_EQ(request.method, method);
+  EXPECT_EQ(request.target, target);
+  EXPECT_EQ(request.body, body);
+}
+
+// ---- Stored records ----
+
+TEST(StoredRecords, KeysAreStable) {
+  EXPECT_STREQ(store::kLeaderKey, "leader");
+  EXPECT_STREQ(store::kEarlierLeadersEndedKey, "earlier-leaders-ended");
+  EXPECT_STREQ(store::kCatalogKey, "catalog");
+  EXPECT_STREQ(store::kLivePrefix, "live/");
+  EXPECT_STREQ(store::kProgressPrefix, "progress/");
+  EXPECT_STREQ(store::kRosterPrefix, "roster/");
+  EXPECT_EQ(store::live_key("req-1"), "live/req-1");
+  EXPECT_EQ(store::final_key("req-1"), "final/req-1");
+  EXPECT_EQ(store::progress_key("req-1", 3), "progress/req-1/3");
+  EXPECT_EQ(store::roster_key(2), "roster/2");
+  EXPECT_STREQ(duties::kLeaseKey, "duty/machines");
+  EXPECT_STREQ(duties::kLedgerPrefix, "ledger/machines/");
+  EXPECT_STREQ(duties::kOrphansKey, "orphans/machines");
+  EXPECT_STREQ(duties::kControlKey, "control/machines");
+  EXPECT_EQ(duties::ledger_key("r-41-1"), "ledger/machines/r-41-1");
+}
+
+TEST(StoredRecords, LiveJobKeepsItsForm) {
+  for (const char* const job : {kGangJob, kArrayJob}) {
+    const std::string literal = R"({"at":1700000000123,"job":)" + std::string(job) + "}";
+    const auto record = store::decode_live(wire::parse(literal));
+    EXPECT_EQ(wire::dump(store::encode_live(record.job, record.accepted)), literal);
+  }
+}
+
+TEST(StoredRecords, FinalRecordKeepsItsForm) {
+  for (const char* const literal :
+       {R"({"end":"done","tasks":16})", R"({"end":"cancelled","tasks":1})"}) {
+    EXPECT_EQ(wire::dump(store::encode_final(store::decode_final(wire::parse(literal)))), literal);
+  }
+}
+
+TEST(StoredRecords, LeaseHolderKeepsItsForm) {
+  for (const char* const literal :
+       {R"({"claim":17,"contested":true,"node":"ghat-0"})",
+        R"({"claim":9223372036854775807,"contested":false,"node":"g"})"}) {
+    EXPECT_EQ(wire::dump(store::encode_holder(store::decode_holder(wire::parse(literal)))),
+              literal);
+  }
+  EXPECT_FALSE(store::decode_holder(wire::parse(R"({"claim":17,"node":"ghat-0"})")).contested);
+}
+
+TEST(StoredRecords, EarlierHoldersEndedKeepsItsForm) {
+  const char* const literal = R"({"token":41})";
+  EXPECT_EQ(wire::dump(store::encode_earlier_holders_ended(
+                store::decode_earlier_holders_ended(wire::parse(literal)))),
+            literal);
+}
+
+TEST(StoredRecords, ProgressChunkKeepsItsForm) {
+  constexpr std::size_t kValueBytes = 8192;
+  std::vector<bool> done(40, false);
+  const char* const literal = R"({"done":"1f08"})";
+  store::decode_chunk(wire::parse(literal), 0, kValueBytes, done);
+  EXPECT_TRUE(done[0] && done[4] && done[5] && done[6] && done[7] && done[15]);
+  EXPECT_FALSE(done[1] || done[8] || done[14] || done[16]);
+  EXPECT_EQ(wire::dump(store::encode_chunk(done, 0, kValueBytes)), literal);
+  EXPECT_EQ(store::tasks_per_chunk(kValueBytes), 32512U);
+}
+
+TEST(StoredRecords, RosterKeepsItsForm) {
+  const char* const literal = R"({"machines":["n-000001","n-000231"]})";
+  EXPECT_EQ(wire::dump(store::encode_roster(store::decode_roster(wire::parse(literal)))), literal);
+}
+
+TEST(StoredRecords, CatalogKeepsItsForm) {
+  const char* const literal =
+      R"({"flavors":[{"accelerators":8.0,"cores":96.0,"localGb":200.0,"marketPrice":4.5,)"
+      R"("name":"g8","price":12.0,"pullGbPerS":1.0,"ramGb":768.0,"readyS":45.0,)"
+      R"("yards":["a","b"]}]})";
+  EXPECT_EQ(wire::dump(wire::encode_machine_types(wire::decode_machine_types(literal))), literal);
+}
+
+TEST(StoredRecords, OperationsKeepTheirForm) {
+  const char* const literals[] = {
+      R"({"begun":1700000000123,"count":3,"form":1,"holder":"ghat-0","kind":"rent","spot":true,)"
+      R"("state":"intended","token":41,"type":"c16","zone":"north"})",
+      R"({"begun":1700000000123,"count":3,"form":1,"holder":"ghat-0","kind":"rent",)"
+      R"("machines":["n-000001","n-000002"],"spot":true,"state":"granted","token":41,)"
+      R"("type":"c16","zone":"north"})",
+      R"({"begun":1,"count":1,"form":1,"holder":"ghat-0","kind":"rent","spot":false,)"
+      R"("state":"refused","token":41,"type":"c16","zone":"north"})",
+      R"({"begun":1,"count":1,"form":1,"holder":"ghat-0","kind":"rent","spot":false,)"
+      R"("state":"withdrawn","token":41,"type":"c16","zone":"north"})",
+      R"({"begun":1,"count":1,"form":1,"holder":"ghat-0","kind":"rent","spot":false,)"
+      R"("state":"settled","token":41,"type":"c16","zone":"north"})",
+      R"({"begun":2,"form":1,"holder":"ghat-1","kind":"return","machines":{"n-1":"idle",)"
+      R"("n-2":"faulty","n-3":"unreachable","n-4":"silent","n-5":"failed boot","n-6":"stopped",)"
+      R"("n-7":"unlisted"},"state":"confirmed","token":42})"};
+  for (const char* const literal : literals) {
+    const auto operation = duties::decode_operation("ledger/machines/r-41-1", wire::parse(literal));
+    EXPECT_EQ(operation.name, "r-41-1");
+    EXPECT_EQ(wire::dump(duties::encode_operation(operation)), literal);
+  }
+}
+
+TEST(StoredRecords, ControlAndOrphansKeepTheirForm) {
+  const char* const control = R"({"form":1,"hand over from":41,"paused":true})";
+  EXPECT_EQ(wire::dump(duties::encode_control(duties::decode_control(wire::parse(control)))),
+            control);
+  const char* const orphans =
+      R"({"form":1,"orphans":[{"machine":"n-1","since":1,"state":"waiting"},)"
+      R"({"machine":"n-2","since":2,"state":"in use"},)"
+      R"({"machine":"n-3","since":3,"state":"returned"},)"
+      R"({"machine":"n-4","since":4,"state":"vanished"},)"
+      R"({"machine":"n-5","since":5,"state":"never appeared"}]})";
+  EXPECT_EQ(wire::dump(duties::encode_orphans(duties::decode_orphans(wire::parse(orphans)))),
+            orphans);
+}
+
+// ---- Users ----
+
+TEST(UserMessages, SubmissionsAreReadAndWrittenAlike) {
+  for (const char* const literal : {kGangJob, kArrayJob}) {
+    EXPECT_EQ(wire::dump(wire::encode_job(wire::decode_job(wire::parse(literal)))), literal);
+  }
+  const auto job = wire::decode_job(wire::parse(kGangJob));
+  EXPECT_EQ(job.id, "req-000412");
+  EXPECT_EQ(job.job_class, "train");
+  EXPECT_EQ(job.team, "vision");
+  EXPECT_EQ(job.kind, JobKind::Gang);
+  EXPECT_EQ(job.priority, Priority::High);
+  EXPECT_EQ(job.tasks, 16U);
+  EXPECT_EQ(job.cpus, 8);
+  EXPECT_EQ(job.gpus, 1);
+  EXPECT_EQ(job.memory_gb, 64);
+  EXPECT_EQ(job.image, "img-07");
+  EXPECT_EQ(job.image_gb, 6.2);
+  EXPECT_EQ(job.types, std::vector<std::string>{"g8"});
+  EXPECT_EQ(job.zone, "a");
+  EXPECT_TRUE(job.one_zone);
+  EXPECT_FALSE(job.spread);
+  EXPECT_TRUE(job.spot);
+  EXPECT_EQ(job.estimate, Seconds(240));
+  EXPECT_EQ(job.checkpoint, Seconds(30));
+  EXPECT_EQ(job.save, Seconds(4));
+  EXPECT_EQ(job.deadline, Seconds(900));
+}
+
+TEST(UserMessages, AnswersKeepTheirForm) {
+  EXPECT_EQ(wire::encode_status("req-1", JobStage::Queued), R"({"ref":"req-1","stage":"queued"})");
+  EXPECT_EQ(wire::encode_status("req-1", JobStage::Cancelled),
+            R"({"ref":"req-1","stage":"withdrawn"})");
+  EXPECT_EQ(wire::encode_status("req-1", JobStage::Running, 3, 13),
+            R"({"done":3,"ref":"req-1","running":13,"stage":"running"})");
+  EXPECT_EQ(wire::encode_status("req-1", JobStage::Done, 16, 0),
+            R"({"done":16,"ref":"req-1","running":0,"stage":"done"})");
+  EXPECT_EQ(wire::encode_error("no such job"), R"({"error":"no such job"})");
+  EXPECT_EQ(wire::kRunsPath, "/v2/runs");
+  EXPECT_EQ(wire::kAbortSuffix, "/abort");
+  EXPECT_EQ(wire::kReadyPath, "/ready");
+  EXPECT_EQ(wire::kReportPath, "/v1/report");
+}
+
+// ---- Workers ----
+
+TEST(WorkerMessages, ReportsAreRead) {
+  const auto report = wire::decode_report(
+      R"({"host":"n-000231","endpoint":"10.1.0.232:9000","flavor":"g8","yard":"a","loaner":true,)"
+      R"("tenure":1,"tick":88,"baton":41,"warningS":12.5,"pieces":[)"
+      R"({"piece":"req-000412/3","try":2,"stage":"pulling"},)"
+      R"({"piece":"req-000412/4","try":2,"stage":"gathering"},)"
+      R"({"piece":"req-000412/5","try":2,"stage":"running"},)"
+      R"({"piece":"req-000412/6","try":2,"stage":"saving"},)"
+      R"({"piece":"req-1/0","try":1,"stage":"exited","cause":"done"},)"
+      R"({"piece":"req-1/1","try":1,"stage":"exited","cause":"halted","stored":true},)"
+      R"({"piece":"req-1/2","try":1,"stage":"exited","cause":"peers"},)"
+      R"({"piece":"req-1/3","try":1,"stage":"exited","cause":"alone"},)"
+      R"({"piece":"req-1/4","try":1,"stage":"exited","cause":"error"},)"
+      R"({"piece":"req-1/5","try":1,"stage":"exited","cause":"no_room"},)"
+      R"({"piece":"req-1/6","try":1,"stage":"exited","cause":"in_use"},)"
+      R"({"piece":"req-1/7","try":1,"stage":"exited","cause":"no_such"}]})");
+  EXPECT_EQ(report.machine, "n-000231");
+  EXPECT_EQ(report.address, "10.1.0.232:9000");
+  EXPECT_EQ(report.type, "g8");
+  EXPECT_EQ(report.zone, "a");
+  EXPECT_TRUE(report.spot);
+  EXPECT_EQ(report.session, 1U);
+  EXPECT_EQ(report.seq, 88U);
+  EXPECT_EQ(report.token, 41U);
+  EXPECT_EQ(report.notice, Seconds(12.5));
+  const TaskState states[] = {TaskState::Fetching, TaskState::Waiting, TaskState::Running,
+                              TaskState::Saving};
+  const ExitCause causes[] = {ExitCause::Done,  ExitCause::Stopped, ExitCause::Peers,
+                              ExitCause::Alone, ExitCause::Error,   ExitCause::NoRoom,
+                              ExitCause::Busy,  ExitCause::Unknown};
+  ASSERT_EQ(report.tasks.size(), 12U);
+  for (std::uint32_t i = 0; i < 4; ++i) {
+    EXPECT_EQ(report.tasks[i].task, (TaskId{"req-000412", i + 3}));
+    EXPECT_EQ(report.tasks[i].attempt, 2U);
+    EXPECT_EQ(report.tasks[i].state, states[i]);
+  }
+  for (std::uint32_t i = 0; i < 8; ++i) {
+    EXPECT_EQ(report.tasks[i + 4].task, (TaskId{"req-1", i}));
+    EXPECT_EQ(report.tasks[i + 4].state, TaskState::Exited);
+    EXPECT_EQ(report.tasks[i + 4].cause, causes[i]);
+    EXPECT_EQ(report.tasks[i + 4].saved, i == 1);
+  }
+}
+
+TEST(WorkerMessages, CommandsKeepTheirForm) {
+  Command start{Command::Op::Start, {"req-000412", 4}, 2};
+  start.interval = Seconds(30);
+  const std::vector<Command> commands{start,
+                                      {Command::Op::Start, {"req-2", 0}, 3},
+                                      {Command::Op::Stop, {"req-000377", 1}, 1, Seconds(10)},
+                                      {Command::Op::Forget, {"req-000398", 0}, 1}};
+  const std::string orders =
+      R"("orders":[{"verb":"run","bookmarkS":30.0,"piece":"req-000412/4","try":2},)"
+      R"({"verb":"run","piece":"req-2/0","try":3},)"
+      R"({"verb":"kill","leewayS":10.0,"piece":"req-000377/1","try":1},)"
+      R"({"verb":"clear","piece":"req-000398/0","try":1}]})";
+  EXPECT_EQ(wire::encode_commands(41, {}), R"({"baton":41,"orders":[]})");
+  EXPECT_EQ(wire::encode_commands(41, commands), R"({"baton":41,)" + orders);
+  EXPECT_EQ(wire::encode_direct(41, 7, commands), R"({"baton":41,"tenure":7,)" + orders);
+  EXPECT_EQ(wire::encode_not_leader("ghat-2"), R"({"foreman":"ghat-2"})");
+  EXPECT_EQ(wire::encode_not_leader(""), "{}");
+  EXPECT_EQ(wire::kDirectPath, "/orders");
+}
+
+// ---- Cloud ----
+
+TEST(CloudMessages, RequestsKeepTheirForm) {
+  expect_request(wire::machine_types_request(), "GET", "/machine_types", "");
+  expect_request(wire::rent_request({"r-17", "g8", "a", true, 12, 0}), "POST", "/machines",
+                 R"({"ask":"r-17","flavor":"g8","howMany":12,"loaner":true,"yard":"a"})");
+  expect_request(
+      wire::rent_request({"r-17", "g8", "a", false, 1, 41}), "POST", "/machines",
+      R"({"ask":"r-17","baton":41,"flavor":"g8","howMany":1,"loaner":false,"yard":"a"})");
+  expect_request(wire::return_request({{"n-1", "n-2"}, "", 0}), "POST", "/machines/return",
+                 R"({"hosts":["n-1","n-2"]})");
+  expect_request(wire::return_request({{"n-1"}, "d-41-2", 41}), "POST", "/machines/return",
+                 R"({"ask":"d-41-2","baton":41,"hosts":["n-1"]})");
+  expect_request(wire::list_request(""), "GET", "/machines?limit=500", "");
+  expect_request(wire::list_request("n-000230"), "GET", "/machines?limit=500&since=n-000230", "");
+}
+
+TEST(CloudMessages, AnswersAreRead) {
+  EXPECT_EQ(wire::decode_rented(R"({"hosts":["n-1","n-2"]})"),
+            (std::vector<std::string>{"n-1", "n-2"}));
+  const auto page = wire::decode_machines(
+      R"({"hosts":[{"ref":"n-1","endpoint":"10.1.0.232:9000","flavor":"g8","yard":"a",)"
+      R"("loaner":true,"stage":"running","ageS":61.5},)"
+      R"({"ref":"n-2","flavor":"g8","yard":"a","loaner":false,"stage":"booting","ageS":1.0},)"
+      R"({"ref":"n-3","flavor":"g8","yard":"a","loaner":false,"stage":"failed","ageS":2.0}],)"
+      R"("hasNext":true})");
+  EXPECT_TRUE(page.more);
+  ASSERT_EQ(page.machines.size(), 3U);
+  EXPECT_EQ(page.machines[0].id, "n-1");
+  EXPECT_EQ(page.machines[0].address, "10.1.0.232:9000");
+  EXPECT_EQ(page.machines[0].type, "g8");
+  EXPECT_EQ(page.machines[0].zone, "a");
+  EXPECT_TRUE(page.machines[0].spot);
+  EXPECT_EQ(page.machines[0].age, Seconds(61.5));
+  EXPECT_EQ(page.machines[0].state, ListedMachine::State::Running);
+  EXPECT_EQ(page.machines[1].state, ListedMachine::State::Booting);
+  EXPECT_EQ(page.machines[2].state, ListedMachine::State::Failed);
+}
+
+// ---- State service ----
+
+TEST(StateServiceMessages, RequestsKeepTheirForm) {
+  expect_request(wire::get_request("a/b"), "GET", "/keys/a/b", "");
+  expect_request(wire::list_keys_request("c/", "", 200), "GET", "/keys?prefix=c/&limit=200", "");
+  expect_request(wire::list_keys_request("c/", "c/7", 200), "GET",
+                 "/keys?prefix=c/&since=c/7&limit=200", "");
+  wire::Txn txn;
+  txn.conditions = {{"a/b", 0}, {"leader", 41}};
+  txn.changes = {{"a/b", wire::Json{{"x", 1}}, 7}, {"c/e", wire::Json(2)}, {"c/d", std::nullopt}};
+  expect_request(
+      wire::txn_request(txn), "POST", "/txn",
+      R"({"apply":[{"hold":7,"put":"a/b","value":{"x":1}},{"put":"c/e","value":2},)"
+      R"({"drop":"c/d"}],"when":[{"key":"a/b","stamp":0},{"key":"leader","stamp":41}]})");
+  expect_request(wire::grant_request(5s), "POST", "/grants", R"({"ttlMs":5000})");
+  expect_request(wire::touch_request(7), "POST", "/grants/7/touch", "");
+  expect_request(wire::drop_grant_request(7), "DELETE", "/grants/7", "");
+  expect_request(wire::watch_request("c/", 431, 10s), "GET",
+                 "/watch?prefix=c/&since=431&blockMs=10000", "");
+}
+
+TEST(StateServiceMessages, AnswersAreRead) {
+  const auto item = wire::decode_item(R"({"key":"a/b","value":{"x":1},"stamp":412,"hold":7})");
+  EXPECT_EQ(item.key, "a/b");
+  EXPECT_EQ(*item.value, (wire::Json{{"x", 1}}));
+  EXPECT_EQ(item.version, 412U);
+  const auto page = wire::decode_items(
+      R"({"items":[{"key":"c/8","value":1,"stamp":5}],"hasNext":true,"ledger":431})");
+  ASSERT_EQ(page.items.size(), 1U);
+  EXPECT_TRUE(page.more);
+  EXPECT_EQ(page.revision, 431U);
+  EXPECT_EQ(wire::decode_revision(R"({"ledger":432})"), 432U);
+  EXPECT_EQ(wire::decode_failed(R"({"failed":["a/b"],"ledger":431})"),
+            std::vector<std::string>{"a/b"});
+  EXPECT_EQ(wire::decode_grant(R"({"hold":7})"), 7U);
+  const auto events =
+      wire::decode_events(R"({"ledger":433,"news":[{"put":"c/9","value":{"x":2},"stamp":433},)"
+                          R"({"drop":"c/d","stamp":432}]})");
+  EXPECT_EQ(events.revision, 433U);
+  ASSERT_EQ(events.items.size(), 2U);
+  EXPECT_EQ(events.items[0].key, "c/9");
+  EXPECT_EQ(*events.items[0].value, (wire::Json{{"x", 2}}));
+  EXPECT_EQ(events.items[0].version, 433U);
+  EXPECT_EQ(events.items[1].key, "c/d");
+  EXPECT_FALSE(events.items[1].value);
+}
+
+// ---- Nodes ----
+
+TEST(PeerMessages, KeepTheirForm) {
+  const std::string literal =
+      "9b05a6676861742d31a6676861742d3029c3ccfa289193aa7265712d303030343132030d91aa7265712d30303033"
+      "3737cd03e8ce00011170";
+  const auto hint = wire::decode_hint(unhex(literal));
+  ASSERT_TRUE(hint);
+  EXPECT_EQ(hint->node, "ghat-1");
+  EXPECT_EQ(hint->leader, "ghat-0");
+  EXPECT_EQ(hint->token, 41U);
+  EXPECT_TRUE(hint->sees_store);
+  EXPECT_EQ(hint->store_age_ms, 250U);
+  EXPECT_EQ(hint->resigned, 40U);
+  ASSERT_EQ(hint->counts.size(), 1U);
+  EXPECT_EQ(hint->counts[0].job, "req-000412");
+  EXPECT_EQ(hint->counts[0].done, 3U);
+  EXPECT_EQ(hint->counts[0].running, 13U);
+  EXPECT_EQ(hint->cancelled, std::vector<std::string>{"req-000377"});
+  EXPECT_EQ(hint->report_age_ms, 1000U);
+  EXPECT_EQ(hint->leader_age_ms, 70000U);
+  EXPECT_EQ(hex(wire::encode_hint(*hint)), literal);
+}
+
+// ---- Settings and features ----
+
+TEST(SettingsFile, EveryFieldIsRead) {
+  const auto s = parse_settings(R"(
+node = "ghat-0"
+zone = "a"
+api_addr = "10.0.0.1:8080"
+cluster_listen = "10.0.0.1:8081"
+[[siblings]]
+node = "ghat-1"
+zone = "b"
+address = "10.0.0.2:8081"
+[external]
+cloud = "10.2.0.2:8443"
+state = "10.2.0.1:2379"
+[cluster]
+zones = ["a", "b"]
+[[cluster.teams]]
+name = "red"
+cpus = 16.0
+cpus_max = 40.0
+gpus = 2.0
+gpus_max = 4.0
+[[cluster.objectives]]
+kind = "finished"
+class = "train"
+within_s = 150.0
+share = 0.94
+[cluster.workers]
+report_s = 2.0
+lease_s = 10.0
+gang_wait_s = 60.0
+gang_peer_s = 5.0
+cancel_s = 40.0
+[cluster.state]
+rps = 120.0
+write_rps = 40.0
+value_kb = 8.0
+txn_ops = 8
+[cluster.cloud]
+rps = 4.0
+list_lag_s = 5.0
+[cluster.machine_limits]
+cpu_share = 0.1
+ram_mb = 64.0
+max_connections = 800
+)");
+  EXPECT_EQ(s.node, "ghat-0");
+  EXPECT_EQ(s.zone, "a");
+  EXPECT_EQ(s.api_address, "10.0.0.1:8080");
+  EXPECT_EQ(s.peer_address, "10.0.0.1:8081");
+  ASSERT_EQ(s.siblings.size(), 1U);
+  EXPECT_EQ(s.siblings[0].node, "ghat-1");
+  EXPECT_EQ(s.siblings[0].zone, "b");
+  EXPECT_EQ(s.siblings[0].address, "10.0.0.2:8081");
+  EXPECT_EQ(s.cloud_address, "10.2.0.2:8443");
+  EXPECT_EQ(s.state_address, "10.2.0.1:2379");
+  EXPECT_EQ(s.zones, (std::vector<std::string>{"a", "b"}));
+  const auto& team = s.teams.at("red");
+  EXPECT_EQ(team.name, "red");
+  EXPECT_EQ(team.cpus, 16);
+  EXPECT_EQ(team.cpus_max, 40);
+  EXPECT_EQ(team.gpus, 2);
+  EXPECT_EQ(team.gpus_max, 4);
+  ASSERT_EQ(s.objectives.size(), 1U);
+  EXPECT_EQ(s.objectives[0].kind, "finished");
+  EXPECT_EQ(s.objectives[0].job_class, "train");
+  EXPECT_EQ(s.objectives[0].within, Seconds(150));
+  EXPECT_EQ(s.objectives[0].share, 0.94);
+  EXPECT_EQ(s.report_every, 2s);
+  EXPECT_EQ(s.lease, 10s);
+  EXPECT_EQ(s.gang_wait, 60s);
+  EXPECT_EQ(s.gang_peer, 5s);
+  EXPECT_EQ(s.cancel_within, 40s);
+  EXPECT_EQ(s.state_rps, 120);
+  EXPECT_EQ(s.state_write_rps, 40);
+  EXPECT_EQ(s.value_bytes, 8192U);
+  EXPECT_EQ(s.txn_ops, 8U);
+  EXPECT_EQ(s.cloud_rps, 4);
+  EXPECT_EQ(s.list_lag, 5s);
+  EXPECT_EQ(s.cpu_share, 0.1);
+  EXPECT_EQ(s.memory_bytes, 64U * 1024 * 1024);
+  EXPECT_EQ(s.max_connections, 800U);
+}
+
+TEST(FeaturesFile, EveryFeatureIsRead) {
+  EXPECT_TRUE(parse_features("[features]\nmachine_duties = true\n").machine_duties);
+  EXPECT_FALSE(parse_features("[features]\nmachine_duties = false\n").machine_duties);
+}
+
+}  // namespace
--- a/tests/load/leader_load.cpp
+++ b/tests/load/leader_load.cpp
@@ -1,7 +1,7 @@
 // A large fleet in simulated time, to count what the nodes spend. Run it under callgrind as
 // profile.sh does: the counts repeat, since everything comes from one seed.
 //
-// Usage: asterstair_load [machines per pool] [seconds] [takeover]
+// Usage: asterstair_leader_load [machines per pool] [seconds] [takeover]
 // With `takeover` the leader ends then, and the run goes on until the next one has settled.
 
 #include <cstdio>
--- a/tests/load/profile.sh
+++ b/tests/load/profile.sh
@@ -31,14 +31,14 @@
 case $mode in
   leader)
     profile 'asterstair::Node::handle*' 'asterstair::fleet::Fleet::tick*' \
-      'asterstair::autoscale::Autoscaler::tick*' -- "$build/asterstair_load" "$per_pool" "$seconds"
+      'asterstair::autoscale::Autoscaler::tick*' -- "$build/asterstair_leader_load" "$per_pool" "$seconds"
     ;;
   siblings)
     profile 'asterstair::Node::share_hints*' 'asterstair::Node::peer_message*' \
-      -- "$build/asterstair_load" "$per_pool" "$seconds"
+      -- "$build/asterstair_leader_load" "$per_pool" "$seconds"
     ;;
   takeover)
-    profile '*lose_leader*' -- "$build/asterstair_load" "$per_pool" "$seconds" takeover
+    profile '*lose_leader*' -- "$build/asterstair_leader_load" "$per_pool" "$seconds" takeover
     ;;
   start)
     "$build/asterstair" --version
--- a/tests/sim/scenario.hpp
+++ b/tests/sim/scenario.hpp
@@ -215,6 +215,7 @@
     if (p.node) return;
     p.runtime = std::make_unique<SimRuntime>(
         world, name(i), [this, i](const std::string& to, std::string m) {
+          if (on_peer_message) on_peer_message(name(i), to, m);
           if (!world.reaches(name(i), to)) return;
           world.at(3ms, [this, to, m = std::move(m)] {
             for (int k = 0; k < count(); ++k) {
@@ -402,6 +403,9 @@
   unsigned next_job = 0, next_unsound = 0;
   std::map<std::string, Ask> asks;
   std::uint64_t reports = 0;
+  // Told of each message between nodes as it is sent.
+  std::function<void(const std::string& from, const std::string& to, const std::string& message)>
+      on_peer_message;
 };
 
 // An array of tasks that fit four to a machine and never save.
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -85,6 +85,7 @@
 
   void http(const std::string& from, const std::string& address, HttpRequest request,
             Duration timeout, std::function<void(HttpResponse)> done) {
+    if (on_request) on_request(from, address, request);
     struct Call {
       bool over = false;
       std::function<void(HttpResponse)> done;
@@ -133,6 +134,7 @@
            [this, address, request] { copies_made += deliver(address, request) ? 1 : 0; });
       }
       handler(request, [this, from, to, finish, address, request](HttpResponse r) {
+        if (on_response) on_response(from, address, r);
         if (tamper) tamper(address, request, r);
         if (answered) answered(from, address, request);
         const double late = slow ? slow(request) : 0;
@@ -160,6 +162,11 @@
   // Requests that are carried out so many seconds late, and never answered; 0: in time.
   std::function<double(const std::string& from, const std::string& address, const HttpRequest&)>
       late;
+  // Told of each request as it is sent, and of each response as the server gives it.
+  std::function<void(const std::string& from, const std::string& address, const HttpRequest&)>
+      on_request;
+  std::function<void(const std::string& from, const std::string& address, const HttpResponse&)>
+      on_response;
   // Told of each answer as it leaves: who asked, where, what.
   std::function<void(const std::string& from, const std::string& address, const HttpRequest&)>
       answered;
