--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -47,7 +47,7 @@
       continue;
     }
     // What is being emptied stays closed, whatever came before.
-    if (!m.reported || m.silent || m.holds_tasks()) continue;
+    if (!m.reported || m.silent || m.has_active_attempts()) continue;
     const auto since = idle_since_.find(id);
     idle[id] = since == idle_since_.end() ? now : since->second;
     release(m, idle[id], room, now);
@@ -117,7 +117,7 @@
                            TimePoint now) {
   using duties::ReturnReason;
   if (m.service != fleet::Machine::Service::InUse) {
-    if (m.occupants.empty()) {
+    if (m.attempts.empty()) {
       due_.emplace(m.id, m.faulty ? ReturnReason::Faulty : ReturnReason::Idle);
     }
     return;
@@ -172,9 +172,9 @@
     const auto* t = catalog_.find(m.type);
     if (t == nullptr || !fleet_.usable(m)) continue;
     if (t->gpus > 0) {
-      out.gpus += t->gpus - m.holding.used.gpus;
+      out.gpus += t->gpus - m.usage.used.gpus;
     } else {
-      out.cpus += t->cpus - m.holding.used.cpus;
+      out.cpus += t->cpus - m.usage.used.cpus;
     }
   }
   return out;
--- a/src/base/model.hpp
+++ b/src/base/model.hpp
@@ -73,7 +73,7 @@
 };
 
 struct Command {
-  enum class Op { Start, Stop, Forget } op = Op::Start;
+  enum class Op { Start, Stop, Acknowledge } op = Op::Start;
   TaskId task;
   std::uint64_t attempt = 0;
   Seconds grace{0};                   // Stop
--- a/src/fleet/commands.cpp
+++ b/src/fleet/commands.cpp
@@ -29,8 +29,8 @@
   if (job.spec->checkpoint.count() <= 0) return std::nullopt;
   double rate = 0;
   if (job.spec->gang()) {
-    for (const auto& [index, placed] : job.placed) {
-      if (const Machine* other = machines_.find(placed.machine)) rate += loss_rate(*other);
+    for (const auto& [index, assignment] : job.assignments) {
+      if (const Machine* other = machines_.find(assignment.machine)) rate += loss_rate(*other);
     }
   } else {
     rate = loss_rate(m);
@@ -39,33 +39,33 @@
 }
 
 // Whether an exited task may be cleared: a done one only once that is durable.
-bool Fleet::may_forget(const Occupant& o) const {
-  if (o.forget) return true;
+bool Fleet::may_acknowledge(const TaskAttempt& o) const {
+  if (o.acknowledge) return true;
   const Job* job = jobs_.find(o.task.job);
   return job == nullptr || (o.cause == ExitCause::Done && job->durable[o.task.index]);
 }
 
 // Nobody may run whose job is not live; looked up here so that no path can miss it.
-std::optional<Command> Fleet::stop_for(Machine& m, Occupant& o) {
-  if (!o.stop && jobs_.find(o.task.job) == nullptr) stop_occupant(m, o, Seconds(0));
+std::optional<Command> Fleet::stop_for(Machine& m, TaskAttempt& o) {
+  if (!o.stop && jobs_.find(o.task.job) == nullptr) stop_attempt(m, o, Seconds(0));
   const bool is_saving = o.state == TaskState::Saving && o.grace.count() > 0;
   if (!o.stop || is_saving) return std::nullopt;
   return Command{Command::Op::Stop, o.task, o.attempt, o.grace};
 }
 
 // Plans that have come to nothing: their job has ended, or the machine may not be used any more.
-void Fleet::drop_void_plans(Machine& m) {
+void Fleet::discard_stale_assignments(Machine& m) {
   const bool machine_usable = usable(m);
   Events gone;
-  for (auto it = m.occupants.begin(); it != m.occupants.end();) {
-    const Occupant& o = it->second;
+  for (auto it = m.attempts.begin(); it != m.attempts.end();) {
+    const TaskAttempt& o = it->second;
     const bool is_void = o.stop || !machine_usable || jobs_.find(o.task.job) == nullptr;
-    if (o.phase != Occupant::Phase::Planned || !is_void) {
+    if (o.phase != TaskAttempt::Phase::Pending || !is_void) {
       ++it;
       continue;
     }
     gone.push_back({TaskEvent::Kind::NotStarted, o});
-    it = m.occupants.erase(it);
+    it = m.attempts.erase(it);
     m.changed = true;
   }
   handle(m, gone);
@@ -74,34 +74,34 @@
 // Marks as ordered only what fits into the answer.
 void Fleet::order_starts(Machine& m, std::uint64_t seq, std::vector<Command>& out) {
   if (!m.rostered || starts_held_ || !usable(m)) return;
-  for (auto& [key, o] : m.occupants) {
+  for (auto& [key, o] : m.attempts) {
     if (out.size() >= kMostCommands) return;
     const Job* job = jobs_.find(o.task.job);
-    if (o.phase != Occupant::Phase::Planned || job == nullptr || !job->begun) continue;
+    if (o.phase != TaskAttempt::Phase::Pending || job == nullptr || !job->begun) continue;
     Command start{Command::Op::Start, o.task, o.attempt};
     start.interval = checkpoint_interval(*job, m);
-    o.phase = Occupant::Phase::Ordered;
-    o.ordered_seq = seq;
+    o.phase = TaskAttempt::Phase::Dispatched;
+    o.dispatched_sequence = seq;
     out.push_back(std::move(start));
   }
 }
 
 std::vector<Command> Fleet::commands_for(Machine& m, std::uint64_t seq) {
-  std::vector<Command> out, forgets;
+  std::vector<Command> out, acknowledgements;
   bool any_planned = false;
-  for (auto& [key, o] : m.occupants) {
-    any_planned = any_planned || o.phase == Occupant::Phase::Planned;
-    if (o.phase == Occupant::Phase::Present) {
+  for (auto& [key, o] : m.attempts) {
+    any_planned = any_planned || o.phase == TaskAttempt::Phase::Pending;
+    if (o.phase == TaskAttempt::Phase::Observed) {
       if (auto stop = stop_for(m, o)) out.push_back(std::move(*stop));
-    } else if (o.phase == Occupant::Phase::Exited && may_forget(o)) {
-      o.forget = true;
-      forgets.push_back({Command::Op::Forget, o.task, o.attempt});
+    } else if (o.phase == TaskAttempt::Phase::Terminated && may_acknowledge(o)) {
+      o.acknowledge = true;
+      acknowledgements.push_back({Command::Op::Acknowledge, o.task, o.attempt});
     }
   }
-  out.insert(out.end(), forgets.begin(), forgets.end());
+  out.insert(out.end(), acknowledgements.begin(), acknowledgements.end());
   if (out.size() > kMostCommands) out.resize(kMostCommands);
   if (any_planned) {
-    drop_void_plans(m);
+    discard_stale_assignments(m);
     order_starts(m, seq, out);
   }
   return out;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -80,7 +80,7 @@
     if (type == nullptr || !m.reported || m.silent) continue;
     ++up;
     room.add(sched::Resources{type->cpus, type->gpus, type->memory_gb});
-    used.add(m.holding.used);
+    used.add(m.usage.used);
   }
   for (const auto& d : demand_) waiting += d.tasks;
   log::info(
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -127,10 +127,10 @@
   void seems_unresponsive(Machine& machine);
   void handle(Machine& machine, const Events& events);
   void note_running(Job& job);
-  void on_exit(Machine& machine, const Occupant& occupant);
+  void on_exit(Machine& machine, const TaskAttempt& task_attempt);
   void on_error(Machine& machine, Job& job);
-  void on_gone(Machine& machine, const Occupant& occupant, bool lost);
-  void stop_occupant(Machine& machine, Occupant& occupant, Seconds grace);
+  void on_gone(Machine& machine, const TaskAttempt& task_attempt, bool lost);
+  void stop_attempt(Machine& machine, TaskAttempt& task_attempt, Seconds grace);
   void release_plans();
   void write_own(wire::Txn txn, store::Urgency urgency, std::function<void(bool)> done);
   void read_versions(const std::vector<std::string>& keys, const std::function<void()>& done);
@@ -142,7 +142,8 @@
   void check_gangs();
   void check_notice(Machine& machine);
   using DirectStops = std::vector<std::pair<std::string, Command>>;  // with their machines
-  std::optional<Seconds> grace_on_notice(const Machine& machine, const Occupant& occupant) const;
+  std::optional<Seconds> grace_on_notice(const Machine& machine,
+                                         const TaskAttempt& task_attempt) const;
   void stop_gang(const Job& job, Seconds grace, DirectStops& direct);
   void send_direct(const DirectStops& stops, bool read_answers = false);
   void pump_direct();
@@ -163,17 +164,18 @@
   void refresh(Machine& machine);
   std::vector<std::set<std::size_t>> machines_to_avoid() const;
   std::uint64_t next_attempt();
-  void carry_out(const sched::Placement& placement, std::map<std::string, std::uint64_t>& gangs);
+  void bind(const sched::Placement& placement, std::map<std::string, std::uint64_t>& gangs);
   void update_demand(const sched::Snapshot& snapshot, const sched::Plan& plan);
-  using VictimRef = std::pair<Machine*, Occupant*>;
-  std::vector<sched::PlanVictim> victims(const sched::Snapshot& snapshot, const sched::Plan& plan,
-                                         std::vector<VictimRef>& refs) const;
-  Seconds work_lost_by_stop(const Occupant& occupant) const;
+  using CandidateRef = std::pair<Machine*, TaskAttempt*>;
+  std::vector<sched::PreemptionCandidate> preemption_candidates(
+      const sched::Snapshot& snapshot, const sched::Plan& plan,
+      std::vector<CandidateRef>& refs) const;
+  Seconds work_lost_by_stop(const TaskAttempt& task_attempt) const;
   void preempt(sched::Snapshot& snapshot, sched::Plan& plan);
   std::vector<Command> commands_for(Machine& machine, std::uint64_t seq);
-  std::optional<Command> stop_for(Machine& machine, Occupant& occupant);
-  bool may_forget(const Occupant& occupant) const;
-  void drop_void_plans(Machine& machine);
+  std::optional<Command> stop_for(Machine& machine, TaskAttempt& task_attempt);
+  bool may_acknowledge(const TaskAttempt& task_attempt) const;
+  void discard_stale_assignments(Machine& machine);
   void order_starts(Machine& machine, std::uint64_t seq, std::vector<Command>& out);
   std::optional<Seconds> checkpoint_interval(const Job& job, const Machine& machine) const;
   bool can_move(const Machine& machine) const;
--- a/src/fleet/gangs.cpp
+++ b/src/fleet/gangs.cpp
@@ -24,7 +24,7 @@
   // A gang that lost a task stops whole (DESIGN). The others must be told within gang_peer_s.
   DirectStops direct;
   for (auto& [id, job] : jobs_.all()) {
-    if (!job.spec->gang() || job.placed.empty() || job.waiting.empty()) continue;
+    if (!job.spec->gang() || job.assignments.empty() || job.waiting.empty()) continue;
     stop_gang(job, Seconds(0), direct);
   }
   send_direct(direct);
@@ -74,7 +74,7 @@
 }
 
 // How long a task may take to save if it is to be stopped on the notice: none if it may go on.
-std::optional<Seconds> Fleet::grace_on_notice(const Machine& m, const Occupant& o) const {
+std::optional<Seconds> Fleet::grace_on_notice(const Machine& m, const TaskAttempt& o) const {
   const auto now = runtime_.now();
   const Seconds left = m.goes_at ? Seconds(*m.goes_at - now) : kNoNotice;
   const auto& job = *o.job;
@@ -90,13 +90,14 @@
 
 // The whole gang is told at once, wherever its tasks are.
 void Fleet::stop_gang(const Job& job, Seconds grace, DirectStops& direct) {
-  for (const auto& [index, placed] : job.placed) {
-    Machine* m = machines_.find(placed.machine);
-    Occupant* o = m == nullptr ? nullptr : m->occupant({job.spec->id, index}, placed.attempt);
+  for (const auto& [index, assignment] : job.assignments) {
+    Machine* m = machines_.find(assignment.machine);
+    TaskAttempt* o =
+        m == nullptr ? nullptr : m->find_attempt({job.spec->id, index}, assignment.attempt);
     if (o == nullptr || o->stop) continue;
-    stop_occupant(*m, *o, grace);
-    if (job.spec->tasks > 1 && o->phase != Occupant::Phase::Planned) {
-      direct.emplace_back(m->id, Command{Command::Op::Stop, o->task, placed.attempt, grace});
+    stop_attempt(*m, *o, grace);
+    if (job.spec->tasks > 1 && o->phase != TaskAttempt::Phase::Pending) {
+      direct.emplace_back(m->id, Command{Command::Op::Stop, o->task, assignment.attempt, grace});
     }
   }
 }
@@ -105,12 +106,12 @@
   // A drained machine's tasks may end by themselves.
   if (!m.goes_at && !m.faulty) return;
   DirectStops direct;
-  for (auto& [key, o] : m.occupants) {
-    if (o.phase != Occupant::Phase::Present || o.stop || !o.job) continue;
+  for (auto& [key, o] : m.attempts) {
+    if (o.phase != TaskAttempt::Phase::Observed || o.stop || !o.job) continue;
     const auto grace = grace_on_notice(m, o);
     if (!grace) continue;
     if (!o.job->gang()) {
-      stop_occupant(m, o, *grace);
+      stop_attempt(m, o, *grace);
     } else if (const Job* job = jobs_.find(o.task.job)) {
       stop_gang(*job, *grace, direct);
     }
--- a/src/fleet/jobs.cpp
+++ b/src/fleet/jobs.cpp
@@ -33,41 +33,41 @@
   return job;
 }
 
-bool Jobs::place(Job& job, std::uint32_t index, Placed placed) {
+bool Jobs::assign(Job& job, std::uint32_t index, Assignment assignment) {
   if (index >= job.spec->tasks || job.done[index]) return false;
-  const auto it = job.placed.find(index);
-  if (it != job.placed.end()) {
-    return it->second.machine == placed.machine && it->second.attempt == placed.attempt;
+  const auto it = job.assignments.find(index);
+  if (it != job.assignments.end()) {
+    return it->second.machine == assignment.machine && it->second.attempt == assignment.attempt;
   }
   job.waiting.erase(index);
-  job.placed.emplace(index, std::move(placed));
+  job.assignments.emplace(index, std::move(assignment));
   return true;
 }
 
 std::uint32_t Jobs::take_waiting(Job& job) { return job.waiting.take_first(); }
 
-void Jobs::set_running(Job& job, std::uint32_t index, const Placed& placed) {
-  const auto it = job.placed.find(index);
-  if (it == job.placed.end() || it->second.running || it->second.machine != placed.machine ||
-      it->second.attempt != placed.attempt) {
+void Jobs::mark_running(Job& job, std::uint32_t index, const Assignment& assignment) {
+  const auto it = job.assignments.find(index);
+  if (it == job.assignments.end() || it->second.running ||
+      it->second.machine != assignment.machine || it->second.attempt != assignment.attempt) {
     return;
   }
   it->second.running = true;
   ++job.running;
 }
 
-void Jobs::unplace(Job& job, std::uint32_t index, const Placed& placed) {
-  const auto it = job.placed.find(index);
-  if (it == job.placed.end() || it->second.machine != placed.machine ||
-      it->second.attempt != placed.attempt) {
+void Jobs::unassign(Job& job, std::uint32_t index, const Assignment& assignment) {
+  const auto it = job.assignments.find(index);
+  if (it == job.assignments.end() || it->second.machine != assignment.machine ||
+      it->second.attempt != assignment.attempt) {
     return;
   }
   if (it->second.running) --job.running;
-  job.placed.erase(it);
+  job.assignments.erase(it);
   if (!job.done[index]) job.waiting.insert(index);
 }
 
-bool Jobs::set_done(Job& job, std::uint32_t index, std::size_t chunk) {
+bool Jobs::mark_done(Job& job, std::uint32_t index, std::size_t chunk) {
   if (index >= job.spec->tasks || job.done[index]) return false;
   job.done[index] = true;
   ++job.done_count;
@@ -79,7 +79,7 @@
 void Jobs::rebuild_waiting(Job& job) {
   job.waiting.clear();
   for (std::uint32_t i = 0; i < job.spec->tasks; ++i) {
-    if (!job.done[i] && job.placed.count(i) == 0) job.waiting.insert(i);
+    if (!job.done[i] && job.assignments.count(i) == 0) job.waiting.insert(i);
   }
 }
 
--- a/src/fleet/jobs.hpp
+++ b/src/fleet/jobs.hpp
@@ -14,7 +14,7 @@
 
 namespace asterstair::fleet {
 
-struct Placed {
+struct Assignment {
   std::string machine;
   std::uint64_t attempt = 0;
   bool running = false;  // has been seen running
@@ -26,9 +26,9 @@
   WallTime accepted{};
   std::vector<bool> done, durable;
   std::uint32_t done_count = 0;
-  TaskSet waiting;            // neither done nor placed
-  std::uint32_t running = 0;  // of those placed
-  std::unordered_map<std::uint32_t, Placed> placed;
+  TaskSet waiting;            // neither done nor assigned
+  std::uint32_t running = 0;  // of those assigned
+  std::unordered_map<std::uint32_t, Assignment> assignments;
   std::unordered_map<std::uint32_t, double> saved_s;  // progress known to be saved, by task
   std::set<std::size_t> dirty;                        // chunks not yet durable
   bool begun = false;                                 // its first progress record is durable
@@ -58,16 +58,16 @@
   std::map<std::string, Job>& all() { return all_; }
   const std::map<std::string, Job>& all() const { return all_; }
 
-  // A task's place. False if it cannot be placed there: it is done or placed elsewhere.
-  static bool place(Job& job, std::uint32_t index, Placed placed);
+  // Assigns a task. False if it cannot run there: it is done or assigned elsewhere.
+  static bool assign(Job& job, std::uint32_t index, Assignment assignment);
   // Takes a waiting task.
   static std::uint32_t take_waiting(Job& job);
   // The attempt has been seen running.
-  static void set_running(Job& job, std::uint32_t index, const Placed& placed);
+  static void mark_running(Job& job, std::uint32_t index, const Assignment& assignment);
   // The attempt is known gone; the task waits again unless it is done.
-  static void unplace(Job& job, std::uint32_t index, const Placed& placed);
-  static bool set_done(Job& job, std::uint32_t index, std::size_t chunk);
-  // Waiting is recomputed from done and placed.
+  static void unassign(Job& job, std::uint32_t index, const Assignment& assignment);
+  static bool mark_done(Job& job, std::uint32_t index, std::size_t chunk);
+  // Waiting is recomputed from done and assignments.
   static void rebuild_waiting(Job& job);
 
  private:
--- a/src/fleet/loading.cpp
+++ b/src/fleet/loading.cpp
@@ -198,14 +198,14 @@
   // directly too: an image may arrive before the next report, a machine may be out of hearing or
   // hang, and then carries the command out as it goes on.
   DirectStops direct;
-  for (const auto& [index, placed] : job->placed) {
-    Machine* m = machines_.find(placed.machine);
+  for (const auto& [index, assignment] : job->assignments) {
+    Machine* m = machines_.find(assignment.machine);
     if (m == nullptr) continue;
-    Occupant* o = m->occupant({id, index}, placed.attempt);
+    TaskAttempt* o = m->find_attempt({id, index}, assignment.attempt);
     if (o == nullptr) continue;
-    stop_occupant(*m, *o, Seconds(0));
-    if (o->phase == Occupant::Phase::Present || o->phase == Occupant::Phase::Ordered) {
-      direct.emplace_back(m->id, Command{Command::Op::Stop, o->task, placed.attempt});
+    stop_attempt(*m, *o, Seconds(0));
+    if (o->phase == TaskAttempt::Phase::Observed || o->phase == TaskAttempt::Phase::Dispatched) {
+      direct.emplace_back(m->id, Command{Command::Op::Stop, o->task, assignment.attempt});
     }
   }
   send_direct(direct);
--- a/src/fleet/machines.cpp
+++ b/src/fleet/machines.cpp
@@ -4,21 +4,21 @@
 
 namespace asterstair::fleet {
 
-bool Machine::holds_tasks() const {
-  return std::any_of(occupants.begin(), occupants.end(),
-                     [](const auto& o) { return o.second.holds_room(); });
+bool Machine::has_active_attempts() const {
+  return std::any_of(attempts.begin(), attempts.end(),
+                     [](const auto& o) { return o.second.holds_resources(); });
 }
 
-Occupant* Machine::occupant(const TaskId& task, std::uint64_t attempt) {
-  const auto it = occupants.find({attempt, task});
-  return it == occupants.end() ? nullptr : &it->second;
+TaskAttempt* Machine::find_attempt(const TaskId& task, std::uint64_t attempt) {
+  const auto it = attempts.find({attempt, task});
+  return it == attempts.end() ? nullptr : &it->second;
 }
 
-Holding Machine::count_holding() const {
-  Holding out;
-  for (const auto& occupant : occupants) {
-    const Occupant& o = occupant.second;
-    if (!o.holds_room()) continue;
+ResourceUsage Machine::compute_usage() const {
+  ResourceUsage out;
+  for (const auto& task_attempt : attempts) {
+    const TaskAttempt& o = task_attempt.second;
+    if (!o.holds_resources()) continue;
     if (!o.job) {
       out.unknown = true;
       continue;
@@ -70,13 +70,13 @@
 }
 
 void Machines::clear(Machine& m, std::vector<TaskEvent>& events) {
-  for (auto& [key, o] : m.occupants) {
-    if (o.phase == Occupant::Phase::Exited) continue;
-    events.push_back({o.phase == Occupant::Phase::Planned ? TaskEvent::Kind::NotStarted
-                                                          : TaskEvent::Kind::Vanished,
+  for (auto& [key, o] : m.attempts) {
+    if (o.phase == TaskAttempt::Phase::Terminated) continue;
+    events.push_back({o.phase == TaskAttempt::Phase::Pending ? TaskEvent::Kind::NotStarted
+                                                             : TaskEvent::Kind::Vanished,
                       o});
   }
-  m.occupants.clear();
+  m.attempts.clear();
   m.changed = true;
 }
 
@@ -106,34 +106,34 @@
 
 void take_over_task(Machine& m, const TaskReport& t, TimePoint now, double cache_gb,
                     std::vector<TaskEvent>& events) {
-  const auto [it, adopted] = m.occupants.try_emplace({t.attempt, t.task});
-  Occupant& o = it->second;
-  o.seen_seq = m.seq;
+  const auto [it, adopted] = m.attempts.try_emplace({t.attempt, t.task});
+  TaskAttempt& o = it->second;
+  o.observed_sequence = m.seq;
   if (adopted) {
     m.changed = true;
     o.task = t.task;
     o.attempt = t.attempt;
-    o.planned_at = now;
+    o.assigned_at = now;
   }
   const auto before = o.phase;
-  if (before == Occupant::Phase::Exited) return;
-  const bool was_running = before == Occupant::Phase::Present && o.state == TaskState::Running;
+  if (before == TaskAttempt::Phase::Terminated) return;
+  const bool was_running = before == TaskAttempt::Phase::Observed && o.state == TaskState::Running;
   const bool begins_to_run = t.state == TaskState::Running && !was_running;
   o.state = t.state;
   if (begins_to_run && o.running_since == TimePoint{}) o.running_since = now;
   if (o.job && shows_image(t)) m.use_image(*o.job, cache_gb);
   if (t.state == TaskState::Exited) {
     m.changed = true;
-    o.phase = Occupant::Phase::Exited;
+    o.phase = TaskAttempt::Phase::Terminated;
     o.cause = t.cause;
     o.saved = t.saved;
     events.push_back({TaskEvent::Kind::Exited, o});
     return;
   }
-  o.phase = Occupant::Phase::Present;
+  o.phase = TaskAttempt::Phase::Observed;
   if (adopted) {
     events.push_back({TaskEvent::Kind::Adopted, o});
-  } else if (before != Occupant::Phase::Present) {
+  } else if (before != TaskAttempt::Phase::Observed) {
     events.push_back({TaskEvent::Kind::Started, o});
   }
   if (begins_to_run) events.push_back({TaskEvent::Kind::Running, o});
@@ -143,22 +143,22 @@
 // earlier report is settled by the next one: the worker drops the answer to a report that it has
 // given up. An exited task was cleared, as told.
 void drop_unreported(Machine& m, Machines::Source source, std::vector<TaskEvent>& events) {
-  for (auto it = m.occupants.begin(); it != m.occupants.end();) {
-    const Occupant& o = it->second;
+  for (auto it = m.attempts.begin(); it != m.attempts.end();) {
+    const TaskAttempt& o = it->second;
     // An answer to a report may be under way while a direct command is answered: only the next
     // report can settle what it ordered.
     const bool open =
-        o.phase == Occupant::Phase::Ordered && source == Machines::Source::DirectAnswer;
-    if (o.seen_seq == m.seq || open || o.phase == Occupant::Phase::Planned) {
+        o.phase == TaskAttempt::Phase::Dispatched && source == Machines::Source::DirectAnswer;
+    if (o.observed_sequence == m.seq || open || o.phase == TaskAttempt::Phase::Pending) {
       ++it;
       continue;
     }
-    if (o.phase == Occupant::Phase::Ordered) {
+    if (o.phase == TaskAttempt::Phase::Dispatched) {
       events.push_back({TaskEvent::Kind::NotStarted, o});
-    } else if (o.phase == Occupant::Phase::Present) {
+    } else if (o.phase == TaskAttempt::Phase::Observed) {
       events.push_back({TaskEvent::Kind::Vanished, o});
     }
-    it = m.occupants.erase(it);
+    it = m.attempts.erase(it);
     m.changed = true;
   }
 }
--- a/src/fleet/machines.hpp
+++ b/src/fleet/machines.hpp
@@ -15,38 +15,38 @@
 namespace asterstair::fleet {
 
 // A task that is, or may be, on a machine.
-struct Occupant {
+struct TaskAttempt {
   enum class Phase {
-    Planned,  // chosen, its start order not yet sent
-    Ordered,  // sent in the answer to report `ordered_seq`; the next report settles it
-    Present,  // reported
-    Exited    // reported as ended; holds no room
+    Pending,     // assigned; its start command has not been sent
+    Dispatched,  // sent in the response to heartbeat `dispatched_sequence`; the next one settles it
+    Observed,    // reported by its worker
+    Terminated   // reported as exited; holds no resources
   };
   TaskId task;
   std::uint64_t attempt = 0;
   JobSpecPtr job;  // none: of a job this node knows nothing of
-  Phase phase = Phase::Planned;
+  Phase phase = Phase::Pending;
   TaskState state = TaskState::Fetching;
   ExitCause cause = ExitCause::None;
   bool saved = false;
-  std::uint64_t ordered_seq = 0, seen_seq = 0;
-  TimePoint planned_at{}, running_since{};
+  std::uint64_t dispatched_sequence = 0, observed_sequence = 0;
+  TimePoint assigned_at{}, running_since{};
   bool stop = false;
   Seconds grace{0};
-  bool forget = false;  // may be cleared from the worker's reports
+  bool acknowledge = false;  // may be cleared from the worker's reports
 
-  bool holds_room() const { return phase != Phase::Exited; }
+  bool holds_resources() const { return phase != Phase::Terminated; }
 };
 
 // Attempts come first: they differ almost always, and comparing them costs least.
-struct OccupantKey {
+struct AttemptId {
   std::uint64_t attempt = 0;
   TaskId task;
-  auto operator<=>(const OccupantKey&) const = default;
+  auto operator<=>(const AttemptId&) const = default;
 };
 
-// What a machine's occupants hold, by team, and where it matters by job.
-struct Holding {
+// What a machine's attempts hold, by team, and where it matters by job.
+struct ResourceUsage {
   sched::Resources used, freeing;  // freeing: the part held by tasks that have been told to stop
   bool unknown = false;            // a task of a job this node knows nothing of
   std::vector<std::pair<std::string, sched::Resources>> teams;
@@ -84,24 +84,24 @@
   std::set<std::string> failed_jobs;  // since its last success
   std::uint32_t failures = 0;
   TimePoint idle_since{};
-  std::map<OccupantKey, Occupant> occupants;
-  Holding holding;  // as of the last look at the occupants
+  std::map<AttemptId, TaskAttempt> attempts;
+  ResourceUsage usage;  // as of the last look at the attempts
   // What they hold may have changed since then.
   bool changed = false;
   // Images seen here, the latest used last.
   std::list<std::pair<std::string, double>> image_use;
   std::set<std::string> images;
 
-  bool holds_tasks() const;
-  Occupant* occupant(const TaskId& task, std::uint64_t attempt);
-  Holding count_holding() const;
+  bool has_active_attempts() const;
+  TaskAttempt* find_attempt(const TaskId& task, std::uint64_t attempt);
+  ResourceUsage compute_usage() const;
   void use_image(const JobSpec& job, double cache_gb);
 };
 
 // What a report, or the end of a lease, says about a task.
 struct TaskEvent {
   enum class Kind { Adopted, Started, Running, Exited, NotStarted, Vanished } kind;
-  Occupant occupant;  // as it was, or is, at that moment
+  TaskAttempt task_attempt;  // as it was, or is, at that moment
 };
 
 class Machines {
--- a/src/fleet/moving.cpp
+++ b/src/fleet/moving.cpp
@@ -39,7 +39,7 @@
 bool Fleet::known_empty(const std::string& id) const {
   const Machine* m = machines_.find(id);
   return m != nullptr && m->reported && m->service != Machine::Service::InUse &&
-         m->occupants.empty();
+         m->attempts.empty();
 }
 
 void Fleet::open_returns_known() {
@@ -52,9 +52,10 @@
 bool Fleet::can_move(const Machine& m) const {
   const auto now = runtime_.now();
   bool any = false;
-  for (const auto& [key, o] : m.occupants) {
-    if (!o.holds_room()) continue;
-    if (o.phase != Occupant::Phase::Present || o.state != TaskState::Running || o.stop || !o.job) {
+  for (const auto& [key, o] : m.attempts) {
+    if (!o.holds_resources()) continue;
+    if (o.phase != TaskAttempt::Phase::Observed || o.state != TaskState::Running || o.stop ||
+        !o.job) {
       return false;
     }
     const Seconds ran(now - o.running_since);
@@ -137,9 +138,9 @@
 void Fleet::empty(Machine& m) {
   log::info("machine {} is emptied: others have room for its tasks", m.id);
   m.service = Machine::Service::Draining;
-  for (auto& [key, o] : m.occupants) {
-    if (o.holds_room() && o.job->checkpoint.count() > 0) {
-      stop_occupant(m, o, o.job->save + Seconds(settings_.gang_peer));
+  for (auto& [key, o] : m.attempts) {
+    if (o.holds_resources() && o.job->checkpoint.count() > 0) {
+      stop_attempt(m, o, o.job->save + Seconds(settings_.gang_peer));
     }
   }
 }
@@ -156,8 +157,8 @@
     Machine& m = *planned_machines_[s.machines[from].ref];
     if (s.machines[from].empty() || !can_move(m) || !spare(m)) continue;
     std::vector<const JobSpec*> tasks;
-    for (const auto& [key, o] : m.occupants) {
-      if (o.holds_room() && o.job->checkpoint.count() > 0) tasks.push_back(o.job.get());
+    for (const auto& [key, o] : m.attempts) {
+      if (o.holds_resources() && o.job->checkpoint.count() > 0) tasks.push_back(o.job.get());
     }
     if (!consolidation.move_all(from, tasks)) continue;
     ++emptied;
--- a/src/fleet/placement.cpp
+++ b/src/fleet/placement.cpp
@@ -56,7 +56,7 @@
 }
 
 // Tasks of a gang share one attempt.
-void Fleet::carry_out(const sched::Placement& p, std::map<std::string, std::uint64_t>& gangs) {
+void Fleet::bind(const sched::Placement& p, std::map<std::string, std::uint64_t>& gangs) {
   Job& job = *planned_jobs_[p.job];
   Machine& m = *planned_machines_[p.machine];
   m.changed = true;
@@ -71,13 +71,13 @@
       attempt = next_attempt();
     }
     const auto index = Jobs::take_waiting(job);
-    job.placed[index] = {m.id, attempt};
-    Occupant o;
+    job.assignments[index] = {m.id, attempt};
+    TaskAttempt o;
     o.task = {job.spec->id, index};
     o.attempt = attempt;
     o.job = job.spec;
-    o.planned_at = runtime_.now();
-    m.occupants.emplace(OccupantKey{attempt, o.task}, std::move(o));
+    o.assigned_at = runtime_.now();
+    m.attempts.emplace(AttemptId{attempt, o.task}, std::move(o));
   }
 }
 
@@ -115,7 +115,7 @@
   }
   auto plan = sched::plan(s, runtime_.rng());
   std::map<std::string, std::uint64_t> gang_attempts;
-  for (const auto& p : plan.placements) carry_out(p, gang_attempts);
+  for (const auto& p : plan.placements) bind(p, gang_attempts);
   update_demand(s, plan);
   if (!plan.unplaced.empty() && now >= next_preempt_) {
     next_preempt_ = now + kPreemptEvery;
@@ -127,7 +127,7 @@
 }
 
 // What a task would lose if it were stopped now.
-Seconds Fleet::work_lost_by_stop(const Occupant& o) const {
+Seconds Fleet::work_lost_by_stop(const TaskAttempt& o) const {
   if (o.running_since == TimePoint{}) return Seconds(0);
   if (o.job->checkpoint.count() > 0) return o.job->save;
   return Seconds(runtime_.now() - o.running_since);
@@ -135,8 +135,8 @@
 
 // One whose start is under way is told to stop by the answer to the report that shows it: on a
 // machine with many short tasks there is always one such.
-std::vector<sched::PlanVictim> Fleet::victims(const sched::Snapshot& s, const sched::Plan& plan,
-                                              std::vector<VictimRef>& refs) const {
+std::vector<sched::PreemptionCandidate> Fleet::preemption_candidates(
+    const sched::Snapshot& s, const sched::Plan& plan, std::vector<CandidateRef>& refs) const {
   // Worth a look only if some of the work may stop some of the rest.
   auto highest = Priority::Low;
   bool guaranteed = false;
@@ -144,11 +144,11 @@
     highest = std::max(highest, s.jobs[i].job->priority);
     guaranteed = guaranteed || s.jobs[i].guaranteed;
   }
-  std::vector<sched::PlanVictim> out;
+  std::vector<sched::PreemptionCandidate> out;
   for (std::size_t i = 0; i < s.machines.size(); ++i) {
     Machine& m = *planned_machines_[s.machines[i].ref];
-    for (auto& [key, o] : m.occupants) {
-      if (!o.holds_room() || !o.job || o.stop) continue;
+    for (auto& [key, o] : m.attempts) {
+      if (!o.holds_resources() || !o.job || o.stop) continue;
       if (!guaranteed && o.job->priority >= highest) continue;
       if (o.job->gang() && o.job->tasks > 1) continue;
       out.push_back({i, refs.size(), o.job.get(), work_lost_by_stop(o).count()});
@@ -159,8 +159,8 @@
 }
 
 void Fleet::preempt(sched::Snapshot& s, sched::Plan& plan) {
-  std::vector<VictimRef> refs;
-  const auto candidates = victims(s, plan, refs);
+  std::vector<CandidateRef> refs;
+  const auto candidates = preemption_candidates(s, plan, refs);
   plan.steps += candidates.size();
   DirectStops direct;
   for (const auto ref : sched::preempt(s, plan, candidates, runtime_.rng())) {
@@ -168,9 +168,9 @@
     log::debug("{}/{} on {} makes room", o->task.job, o->task.index, m->id);
     const bool saves = o->job->checkpoint.count() > 0;
     const Seconds grace = saves ? o->job->save + Seconds(settings_.gang_peer) : Seconds(0);
-    stop_occupant(*m, *o, grace);
+    stop_attempt(*m, *o, grace);
     // Told at once: whoever makes room is waited for.
-    if (o->phase == Occupant::Phase::Present) {
+    if (o->phase == TaskAttempt::Phase::Observed) {
       direct.emplace_back(m->id, Command{Command::Op::Stop, o->task, o->attempt, grace});
     }
   }
--- a/src/fleet/reports.cpp
+++ b/src/fleet/reports.cpp
@@ -135,7 +135,8 @@
       if (m.unresponsive_since && runtime_.now() >= m.unresponsive_until)
         m.unresponsive_since.reset();
     }
-    if (e.kind == TaskEvent::Kind::NotStarted && e.occupant.phase == Occupant::Phase::Ordered) {
+    if (e.kind == TaskEvent::Kind::NotStarted &&
+        e.task_attempt.phase == TaskAttempt::Phase::Dispatched) {
       if (++m.starts_unseen >= kStartsUnseen) seems_unresponsive(m);
       break;  // one answer, however many orders it held
     }
@@ -158,7 +159,7 @@
 
 void Fleet::handle(Machine& m, const Events& events) {
   for (const auto& e : events) {
-    const Occupant& o = e.occupant;
+    const TaskAttempt& o = e.task_attempt;
     plan_wanted_ = true;
     switch (e.kind) {
       case TaskEvent::Kind::Started: {
@@ -171,17 +172,17 @@
       }
       case TaskEvent::Kind::Running:
         if (Job* job = jobs_.find(o.task.job); job != nullptr) {
-          Jobs::set_running(*job, o.task.index, {m.id, o.attempt});
+          Jobs::mark_running(*job, o.task.index, {m.id, o.attempt});
           if (!job->ran) note_running(*job);
         }
         break;
       case TaskEvent::Kind::Adopted: {
-        Occupant& here = m.occupants.at({o.attempt, o.task});
+        TaskAttempt& here = m.attempts.at({o.attempt, o.task});
         Job* job = jobs_.find(o.task.job);
         if (job != nullptr) here.job = job->spec;
         // A reported task whose job is not live is killed; so is one that is done or elsewhere.
-        if (job == nullptr || !Jobs::place(*job, o.task.index, {m.id, o.attempt})) {
-          stop_occupant(m, here, Seconds(0));
+        if (job == nullptr || !Jobs::assign(*job, o.task.index, {m.id, o.attempt})) {
+          stop_attempt(m, here, Seconds(0));
         } else {
           job->first_started = true;
         }
@@ -204,10 +205,10 @@
 void Fleet::note_running(Job& job) {
   if (job.spec->gang()) {
     if (!job.waiting.empty()) return;
-    for (const auto& [index, placed] : job.placed) {
-      Machine* m = machines_.find(placed.machine);
-      const Occupant* o =
-          m == nullptr ? nullptr : m->occupant({job.spec->id, index}, placed.attempt);
+    for (const auto& [index, assignment] : job.assignments) {
+      Machine* m = machines_.find(assignment.machine);
+      const TaskAttempt* o =
+          m == nullptr ? nullptr : m->find_attempt({job.spec->id, index}, assignment.attempt);
       if (o == nullptr || o->state != TaskState::Running) return;
     }
   }
@@ -216,12 +217,12 @@
             job.spec->job_class, job.spec->tasks, job.room_after.count(), age_of(job).count());
 }
 
-void Fleet::on_exit(Machine& m, const Occupant& o) {
-  Occupant& here = m.occupants.at({o.attempt, o.task});
+void Fleet::on_exit(Machine& m, const TaskAttempt& o) {
+  TaskAttempt& here = m.attempts.at({o.attempt, o.task});
   const auto now = runtime_.now();
   Job* job = jobs_.find(o.task.job);
   if (job == nullptr) {
-    here.forget = true;
+    here.acknowledge = true;
     return;
   }
   if (o.cause == ExitCause::Done) {
@@ -231,12 +232,12 @@
     // A gang completes together: when one task is done, every task is.
     const auto first = job->spec->gang() ? 0 : o.task.index;
     const auto last = job->spec->gang() ? job->spec->tasks - 1 : o.task.index;
-    for (auto i = first; i <= last; ++i) Jobs::set_done(*job, i, i / per);
-    Jobs::unplace(*job, o.task.index, {m.id, o.attempt});
+    for (auto i = first; i <= last; ++i) Jobs::mark_done(*job, i, i / per);
+    Jobs::unassign(*job, o.task.index, {m.id, o.attempt});
     if (job->all_done()) finish(*job);
     return;  // cleared once that is durable
   }
-  here.forget = true;
+  here.acknowledge = true;
   log::debug("{}/{} ended on {}: {}{}", o.task.job, o.task.index, m.id, cause_word(o.cause),
              o.saved ? ", saved" : "");
   switch (o.cause) {
@@ -287,11 +288,12 @@
   }
 }
 
-void Fleet::on_gone(Machine& m, const Occupant& o, bool lost) {
+void Fleet::on_gone(Machine& m, const TaskAttempt& o, bool lost) {
   Job* job = jobs_.find(o.task.job);
   if (job == nullptr) return;
-  const auto it = job->placed.find(o.task.index);
-  if (it == job->placed.end() || it->second.machine != m.id || it->second.attempt != o.attempt) {
+  const auto it = job->assignments.find(o.task.index);
+  if (it == job->assignments.end() || it->second.machine != m.id ||
+      it->second.attempt != o.attempt) {
     return;
   }
   if (o.running_since != TimePoint{} && job->spec->checkpoint.count() > 0) {
@@ -303,15 +305,15 @@
   }
   if (lost) log::debug("{}/{} lost on {}", o.task.job, o.task.index, m.id);
   if (o.running_since != TimePoint{}) job->last_zone = m.zone;
-  Jobs::unplace(*job, o.task.index, {m.id, o.attempt});
+  Jobs::unassign(*job, o.task.index, {m.id, o.attempt});
 }
 
-void Fleet::stop_occupant(Machine& m, Occupant& o, Seconds grace) {
+void Fleet::stop_attempt(Machine& m, TaskAttempt& o, Seconds grace) {
   if (o.stop && o.grace <= grace) return;
   m.changed = true;
   o.stop = true;
   o.grace = grace;
-  if (o.phase == Occupant::Phase::Exited) o.forget = true;
+  if (o.phase == TaskAttempt::Phase::Terminated) o.acknowledge = true;
 }
 
 void Fleet::expire_leases() {
@@ -338,7 +340,7 @@
 void Fleet::release_plans() {
   const auto now = runtime_.now();
   for (auto& [id, m] : machines_.all()) {
-    if (!m.occupants.empty() && !usable(m, now)) drop_void_plans(m);
+    if (!m.attempts.empty() && !usable(m, now)) discard_stale_assignments(m);
   }
 }
 
--- a/src/fleet/snapshot.cpp
+++ b/src/fleet/snapshot.cpp
@@ -22,9 +22,9 @@
 void Fleet::refresh(Machine& m) {
   if (!m.changed) return;
   m.changed = false;
-  for (const auto& [team, use] : m.holding.teams) team_use_[team].add(use, -1);
-  m.holding = m.count_holding();
-  for (const auto& [team, use] : m.holding.teams) team_use_[team].add(use);
+  for (const auto& [team, use] : m.usage.teams) team_use_[team].add(use, -1);
+  m.usage = m.compute_usage();
+  for (const auto& [team, use] : m.usage.teams) team_use_[team].add(use);
 }
 
 // Machines with tasks of jobs that this node knows nothing of get nothing; the room that these can
@@ -35,11 +35,11 @@
   const auto now = runtime_.now();
   for (auto& [id, m] : machines_.all()) {
     refresh(m);
-    for (const auto& [job, n] : m.holding.zoned) in_zone[job->id][m.zone] += n;
+    for (const auto& [job, n] : m.usage.zoned) in_zone[job->id][m.zone] += n;
     const auto* type = catalog_.find(m.type);
-    if (m.holding.unknown) {
+    if (m.usage.unknown) {
       unknown.add(type == nullptr ? kUnbounded : sched::Resources{type->cpus, type->gpus, 0});
-      unknown.add(m.holding.used, -1);
+      unknown.add(m.usage.used, -1);
       continue;
     }
     if (type == nullptr || !usable(m, now)) continue;
@@ -47,8 +47,8 @@
     if (added) rate->second = loss_rate(m);
     sched::PlanMachine p;
     p.free = {type->cpus, type->gpus, type->memory_gb};
-    p.free.add(m.holding.used, -1);
-    p.freeing = m.holding.freeing;
+    p.free.add(m.usage.used, -1);
+    p.freeing = m.usage.freeing;
     p.ref = planned_machines_.size();
     p.type = type;
     p.zone = m.zone;
@@ -95,7 +95,7 @@
 
 // Keeps since when nothing of the job is, or may be, anywhere.
 void Fleet::note_idle(Job& job) const {
-  if (!job.placed.empty()) {
+  if (!job.assignments.empty()) {
     job.idle_since.reset();
   } else if (!job.idle_since) {
     // Of one that never began, from when it was accepted, whoever led then.
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -86,7 +86,7 @@
   void write_claim(std::uint64_t expected_version, bool contested);
   void acquire(std::uint64_t token, bool contested);
 
-  // Holding, in lease.cpp.
+  // ResourceUsage, in lease.cpp.
   void renew();
   void touch(std::uint64_t epoch, TimePoint sent);
   void renew_after(std::uint64_t epoch, Duration delay);
--- a/src/sched/preemption.cpp
+++ b/src/sched/preemption.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // A step of planning looks at a machine; looking at a victim costs less.
-constexpr std::size_t kVictimsAStep = 4;
+constexpr std::size_t kCandidatesPerStep = 4;
 
 // What a second of a task's time counts for.
 double weight_of(const JobSpec& job) { return 1 + job.cpus + kCpusPerGpu * job.gpus; }
@@ -33,18 +33,18 @@
 struct MakingRoom {
   std::size_t machine = 0;
   Resources free;
-  std::vector<std::size_t> victims;  // in the order in which they would be stopped
+  std::vector<std::size_t> candidates;  // in the order in which they would be stopped
   std::size_t next = 0;
   double delay_cost = 0;  // of each task
 
-  std::optional<Offer> offer(const JobSpec& job, const std::vector<PlanVictim>& all) {
+  std::optional<Offer> offer(const JobSpec& job, const std::vector<PreemptionCandidate>& all) {
     Offer out{machine, delay_cost, {}};
     while (!fits(job, free)) {
-      if (next == victims.size()) return std::nullopt;
-      const auto& v = all[victims[next]];
+      if (next == candidates.size()) return std::nullopt;
+      const auto& v = all[candidates[next]];
       free.add(*v.job);
       out.cost += v.lost_work * weight_of(*v.job);
-      out.stop.push_back(victims[next++]);
+      out.stop.push_back(candidates[next++]);
     }
     free.add(job, -1);
     return out;
@@ -64,20 +64,21 @@
 
 class Preemption {
  public:
-  Preemption(Snapshot& s, Plan& plan, const std::vector<PlanVictim>& victims, Rng& rng)
+  Preemption(Snapshot& s, Plan& plan, const std::vector<PreemptionCandidate>& candidates, Rng& rng)
       : s_(s),
         plan_(plan),
-        victims_(victims),
+        candidates_(candidates),
         rng_(rng),
-        victims_on_(s.machines.size()),
-        stopped_(victims.size(), false) {
-    for (std::size_t v = 0; v < victims.size(); ++v) victims_on_[victims[v].machine].push_back(v);
+        candidates_on_(s.machines.size()),
+        stopped_(candidates.size(), false) {
+    for (std::size_t v = 0; v < candidates.size(); ++v)
+      candidates_on_[candidates[v].machine].push_back(v);
     for (auto& m : s_.machines) m.free.add(m.freeing);
   }
 
   std::vector<std::size_t> run() {
     for (const auto& [job_index, left] : plan_.unplaced) make_room_for(job_index, left);
-    plan_.steps += looked_at_ / kVictimsAStep;
+    plan_.steps += looked_at_ / kCandidatesPerStep;
     return std::move(out_);
   }
 
@@ -89,12 +90,12 @@
     const auto making = machines_to_make_room_on(job_index);
     const auto best = best_choice(j, making, std::min(left, most));
     if (j.job->gang() && best.offers.size() < left) return;
-    for (const auto& offer : best.offers) carry_out(j, offer);
+    for (const auto& offer : best.offers) bind(j, offer);
   }
 
   // Lower priority; or, for a job within its team's guarantee, what another team runs above its
   // own. A guarantee is used up by what the team has running already.
-  bool may_stop(const PlanJob& j, const PlanVictim& v) {
+  bool may_stop(const PlanJob& j, const PreemptionCandidate& v) {
     if (v.job->priority < j.job->priority) return true;
     if (!j.guaranteed || v.job->team == j.job->team) return false;
     const auto& team = s_.teams[j.job->team];
@@ -148,8 +149,8 @@
       // What is fetched first delays the start: counted like work lost.
       const double delay = start_delay(j.job->image_gb, machine.has_image(j.job->image)).count();
       MakingRoom r{m, machine.free, stoppable_on(j, m), 0, delay * weight_of(*j.job)};
-      if (r.victims.empty() && !fits(*j.job, r.free)) continue;
-      looked_at_ += r.victims.size();
+      if (r.candidates.empty() && !fits(*j.job, r.free)) continue;
+      looked_at_ += r.candidates.size();
       out.push_back(std::move(r));
     }
     return out;
@@ -158,11 +159,11 @@
   // Lowest priority first, then the least work lost.
   std::vector<std::size_t> stoppable_on(const PlanJob& j, std::size_t machine) {
     std::vector<std::size_t> out;
-    for (const auto v : victims_on_[machine]) {
-      if (!stopped_[v] && may_stop(j, victims_[v])) out.push_back(v);
+    for (const auto v : candidates_on_[machine]) {
+      if (!stopped_[v] && may_stop(j, candidates_[v])) out.push_back(v);
     }
     std::sort(out.begin(), out.end(), [&](std::size_t a, std::size_t b) {
-      const auto &x = victims_[a], &y = victims_[b];
+      const auto &x = candidates_[a], &y = candidates_[b];
       return std::tuple(x.job->priority, x.lost_work, a) <
              std::tuple(y.job->priority, y.lost_work, b);
     });
@@ -191,7 +192,7 @@
     for (auto& r : making) {
       if (zone != nullptr && s_.machines[r.machine].zone != *zone) continue;
       by_machine[r.machine] = &r;
-      if (auto o = r.offer(*j.job, victims_)) queue.push(std::move(*o));
+      if (auto o = r.offer(*j.job, candidates_)) queue.push(std::move(*o));
     }
     auto in_zone = j.in_zone;
     while (wanted > 0 && !queue.empty()) {
@@ -201,23 +202,24 @@
       if (zone_room(*j.job, in_zone, z) == 0) continue;
       ++in_zone[z];
       --wanted;
-      if (auto more = by_machine[o.machine]->offer(*j.job, victims_)) queue.push(std::move(*more));
+      if (auto more = by_machine[o.machine]->offer(*j.job, candidates_))
+        queue.push(std::move(*more));
       out.cost += o.cost;
       out.offers.push_back(std::move(o));
     }
     return out;
   }
 
-  void carry_out(const PlanJob& j, const Offer& offer) {
+  void bind(const PlanJob& j, const Offer& offer) {
     auto& machine = s_.machines[offer.machine];
     for (const auto v : offer.stop) {
-      const auto& victim = victims_[v];
+      const auto& candidate = candidates_[v];
       // Judged anew: what was stopped before counts.
-      if (!may_stop(j, victim)) continue;
+      if (!may_stop(j, candidate)) continue;
       stopped_[v] = true;
-      machine.free.add(*victim.job);
-      s_.teams[victim.job->team].used.add(*victim.job, -1);
-      out_.push_back(victim.ref);
+      machine.free.add(*candidate.job);
+      s_.teams[candidate.job->team].used.add(*candidate.job, -1);
+      out_.push_back(candidate.ref);
     }
     machine.free.add(*j.job, -1);
     s_.teams[j.job->team].used.add(*j.job);
@@ -225,9 +227,9 @@
 
   Snapshot& s_;
   Plan& plan_;
-  const std::vector<PlanVictim>& victims_;
+  const std::vector<PreemptionCandidate>& candidates_;
   Rng& rng_;
-  std::vector<std::vector<std::size_t>> victims_on_;  // by machine
+  std::vector<std::vector<std::size_t>> candidates_on_;  // by machine
   std::vector<bool> stopped_;
   std::vector<std::size_t> out_;
   std::size_t looked_at_ = 0;
@@ -235,10 +237,10 @@
 
 }  // namespace
 
-std::vector<std::size_t> preempt(Snapshot& s, Plan& plan, const std::vector<PlanVictim>& victims,
-                                 Rng& rng) {
-  if (victims.empty()) return {};
-  return Preemption(s, plan, victims, rng).run();
+std::vector<std::size_t> preempt(Snapshot& s, Plan& plan,
+                                 const std::vector<PreemptionCandidate>& candidates, Rng& rng) {
+  if (candidates.empty()) return {};
+  return Preemption(s, plan, candidates, rng).run();
 }
 
 }  // namespace asterstair::sched
--- a/src/sched/preemption.hpp
+++ b/src/sched/preemption.hpp
@@ -8,9 +8,9 @@
 
 namespace asterstair::sched {
 
-// Returns the refs of the victims to stop. For a gang nothing is stopped unless all its tasks find
-// room. Room that is being freed already counts as free.
+// Returns the refs of the preemption candidates to stop. For a gang nothing is stopped unless all
+// its tasks find room. Room that is being freed already counts as free.
 std::vector<std::size_t> preempt(Snapshot& snapshot, Plan& plan,
-                                 const std::vector<PlanVictim>& victims, Rng& rng);
+                                 const std::vector<PreemptionCandidate>& candidates, Rng& rng);
 
 }  // namespace asterstair::sched
--- a/src/sched/snapshot.hpp
+++ b/src/sched/snapshot.hpp
@@ -33,7 +33,7 @@
 };
 
 // A task that could be stopped to make room.
-struct PlanVictim {
+struct PreemptionCandidate {
   std::size_t machine = 0;  // index into machines
   std::size_t ref = 0;      // the caller's
   const JobSpec* job = nullptr;
--- a/src/wire/command_writer.cpp
+++ b/src/wire/command_writer.cpp
@@ -12,7 +12,7 @@
 
 constexpr const char* kStart = "run";
 constexpr const char* kStop = "kill";
-constexpr const char* kForget = "clear";
+constexpr const char* kAcknowledge = "clear";
 // A command's fixed words and numbers, at the most.
 constexpr std::size_t kCommandOverhead = 140;
 
@@ -34,8 +34,8 @@
       writer.Key(name::kGrace);
       writer.Double(command.grace.count());
       break;
-    case Command::Op::Forget:
-      writer.String(kForget);
+    case Command::Op::Acknowledge:
+      writer.String(kAcknowledge);
       break;
   }
   if (command.op == Command::Op::Start && command.interval) {
--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -203,7 +203,7 @@
   EXPECT_THROW(wire::decode_report("{}"), wire::BadMessage);
   const auto out =
       wire::parse(wire::encode_commands(41, {{Command::Op::Stop, {"req-1", 2}, 7, Seconds(10)},
-                                             {Command::Op::Forget, {"req-1", 3}, 8}}));
+                                             {Command::Op::Acknowledge, {"req-1", 3}, 8}}));
   EXPECT_EQ(
       out,
       wire::parse(R"({"baton":41,"orders":[{"verb":"kill","piece":"req-1/2","try":7,"leewayS":10.0},
--- a/tests/formulas_test.cpp
+++ b/tests/formulas_test.cpp
@@ -216,19 +216,19 @@
   running.id = "req-9";
   running.team = "u";
   running.cpus = 8;
-  const std::vector<PlanVictim> victims{{0, 0, &running, 5}, {0, 1, &running, 50}};
+  const std::vector<PreemptionCandidate> candidates{{0, 0, &running, 5}, {0, 1, &running, 50}};
   Plan none{{}, {{0, 1}}};
-  EXPECT_TRUE(preempt(s, none, victims, rng).empty());  // equal priority, no guarantee
+  EXPECT_TRUE(preempt(s, none, candidates, rng).empty());  // equal priority, no guarantee
   s.teams["t"].guaranteed_cpus = 8;
   s.jobs[0].guaranteed = true;
   s.teams["u"].used.cpus = 16;
-  EXPECT_EQ(preempt(s, none, victims, rng),
+  EXPECT_EQ(preempt(s, none, candidates, rng),
             std::vector<std::size_t>{0});  // the one that loses least
   s.teams["t"].guaranteed_cpus = 0;
   s.teams["t"].used = {};
   s.machines[0].free = {0, 0, 60};
   running.priority = Priority::Low;
-  EXPECT_EQ(preempt(s, none, victims, rng), std::vector<std::size_t>{0});
+  EXPECT_EQ(preempt(s, none, candidates, rng), std::vector<std::size_t>{0});
 }
 
 // Stops take a moment to be carried out, and rounds follow one another sooner. With a random sample
@@ -241,22 +241,22 @@
   s.jobs.clear();
   running.priority = Priority::Low;
   job(40, 4);
-  std::vector<PlanVictim> victims;
+  std::vector<PreemptionCandidate> candidates;
   for (std::size_t m = 0; m < kMachines; ++m) {
     s.machines[m].free = {0, 0, 60};
     for (std::size_t n = 0; n < kTasksOnEach; ++n) {
-      victims.push_back({m, victims.size(), &running, 5});
+      candidates.push_back({m, candidates.size(), &running, 5});
     }
   }
   const Snapshot before = s;
   Plan none{{}, {{0, 40}}};
-  const auto stopped = preempt(s, none, victims, rng);
+  const auto stopped = preempt(s, none, candidates, rng);
   EXPECT_EQ(stopped.size(), 160U);
 
   // The next round: told, and not yet gone.
   s = before;
-  std::vector<PlanVictim> left;
-  for (const auto& v : victims) {
+  std::vector<PreemptionCandidate> left;
+  for (const auto& v : candidates) {
     if (std::find(stopped.begin(), stopped.end(), v.ref) != stopped.end()) {
       s.machines[v.machine].freeing.add(running);
     } else {
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -266,7 +266,7 @@
   const std::vector<Command> commands{start,
                                       {Command::Op::Start, {"req-2", 0}, 3},
                                       {Command::Op::Stop, {"req-000377", 1}, 1, Seconds(10)},
-                                      {Command::Op::Forget, {"req-000398", 0}, 1}};
+                                      {Command::Op::Acknowledge, {"req-000398", 0}, 1}};
   const std::string orders =
       R"("orders":[{"verb":"run","bookmarkS":30.0,"piece":"req-000412/4","try":2},)"
       R"({"verb":"run","piece":"req-2/0","try":3},)"
--- a/tests/sim/fleet.hpp
+++ b/tests/sim/fleet.hpp
@@ -209,7 +209,7 @@
         changed();
       }
       renewed_ = sent;
-      carry_out(in["orders"]);
+      bind(in["orders"]);
       return;
     }
     if (r.status == 421) {
@@ -245,7 +245,7 @@
       return;
     }
     token_ = in["baton"].get<std::uint64_t>();
-    carry_out(in["orders"]);
+    bind(in["orders"]);
     respond({200, body().dump()});
   }
 
@@ -257,7 +257,7 @@
              c["try"].get<std::uint64_t>()}};
   }
 
-  void carry_out(const Json& orders) {
+  void bind(const Json& orders) {
     for (const auto& c : orders) {
       const auto key = key_of(c);
       const auto verb = c["verb"].get<std::string>();
--- a/tests/troubles_test.cpp
+++ b/tests/troubles_test.cpp
@@ -133,7 +133,7 @@
   events.clear();
   EXPECT_EQ(machines.apply(report(1, 6, {task(7)}), {}, 0, events), fleet::Machines::Order::Late);
   EXPECT_TRUE(events.empty());
-  EXPECT_TRUE(m.occupants.empty());
+  EXPECT_TRUE(m.attempts.empty());
   EXPECT_TRUE(m.silent);
   EXPECT_EQ(machines.apply(report(2, 7), {}, 0, events), fleet::Machines::Order::New);
   EXPECT_FALSE(m.silent);
@@ -144,19 +144,19 @@
 TEST_F(MachineView, ADirectAnswerDoesNotSettleAnOrder) {
   machines.apply(report(1, 1), {}, 0, events);
   auto& m = machines.at("n-1");
-  fleet::Occupant o;
+  fleet::TaskAttempt o;
   o.task = {"req-1", 0};
   o.attempt = 9;
-  o.phase = fleet::Occupant::Phase::Ordered;
-  m.occupants.emplace(fleet::OccupantKey{9, o.task}, o);
+  o.phase = fleet::TaskAttempt::Phase::Dispatched;
+  m.attempts.emplace(fleet::AttemptId{9, o.task}, o);
   events.clear();
   machines.apply(report(1, 2), {}, 0, events, fleet::Machines::Source::DirectAnswer);
   EXPECT_TRUE(events.empty());
-  EXPECT_EQ(m.occupants.size(), 1U);
+  EXPECT_EQ(m.attempts.size(), 1U);
   machines.apply(report(1, 3), {}, 0, events);
   ASSERT_EQ(events.size(), 1U);
   EXPECT_EQ(events[0].kind, fleet::TaskEvent::Kind::NotStarted);
-  EXPECT_TRUE(m.occupants.empty());
+  EXPECT_TRUE(m.attempts.empty());
 }
 
 // A leader that hears neither state service nor siblings, but its workers: the next one must not be
