--- a/src/autoscale/autoscale.cpp
+++ b/src/autoscale/autoscale.cpp
@@ -172,7 +172,7 @@
     const std::string& type, const std::map<std::string, PendingMachine>& pending) const {
   CountByZone out;
   for (const auto& [id, m] : fleet_->machines().all()) {
-    if (m.type == type && m.reported && !m.silent) ++out[m.zone];
+    if (m.type == type && m.reconciled && !m.silent) ++out[m.zone];
   }
   for (const auto& [id, p] : pending) {
     if (p.pool.type == type) ++out[p.pool.zone];
@@ -276,7 +276,7 @@
   }
   for (const auto& [id, m] : fleet_->machines().all()) {
     const auto* type = catalog_.find(m.type);
-    if (type != nullptr && m.reported && !m.silent) cpus += type->cpus;
+    if (type != nullptr && m.reconciled && !m.silent) cpus += type->cpus;
   }
   return Seconds(cpus > 0 ? work / cpus : 0);
 }
--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -31,7 +31,7 @@
   // listed, a return tells at once that they are gone, instead of their leases running out.
   if (fleet_.settled() || now - first_list <= kTakeOverPatience) return;
   for (const auto& [id, m] : fleet_.machines().all()) {
-    if (!m.reported && !m.silent && !inventory_.listed_last(id)) {
+    if (!m.reconciled && !m.silent && !inventory_.listed_last(id)) {
       due_.emplace(id, duties::ReturnReason::Unlisted);
     }
   }
@@ -47,7 +47,7 @@
       continue;
     }
     // What is being emptied stays closed, whatever came before.
-    if (!m.reported || m.silent || m.has_active_attempts()) continue;
+    if (!m.reconciled || m.silent || m.has_active_attempts()) continue;
     const auto since = idle_since_.find(id);
     idle[id] = since == idle_since_.end() ? now : since->second;
     release(m, idle[id], room, now);
--- a/src/base/model.hpp
+++ b/src/base/model.hpp
@@ -56,7 +56,7 @@
 enum class ExitCause { None, Done, Stopped, Peers, Alone, Error, NoRoom, Busy, Unknown };
 
 // One task as its worker reports it.
-struct TaskReport {
+struct TaskStatus {
   TaskId task;
   std::uint64_t attempt = 0;
   TaskState state = TaskState::Exited;
@@ -64,12 +64,12 @@
   bool saved = false;
 };
 
-struct WorkerReport {
+struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, seq = 0, token = 0;
+  std::uint64_t epoch = 0, sequence = 0, token = 0;
   std::optional<Seconds> notice;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
 struct Command {
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -136,7 +136,7 @@
 
 void read_workers(const toml::table& cluster, Settings& s) {
   const auto& workers = section(cluster, "cluster.", "workers");
-  s.report_every = span(workers, "cluster.workers.", "report_s");
+  s.heartbeat_interval = span(workers, "cluster.workers.", "report_s");
   s.lease = span(workers, "cluster.workers.", "lease_s");
   s.gang_wait = span(workers, "cluster.workers.", "gang_wait_s");
   s.gang_peer = span(workers, "cluster.workers.", "gang_peer_s");
@@ -212,7 +212,7 @@
 
 Duration view_limit(const Settings& s) {
   // For drift on both terms, the worker's own timer and the steps in between.
-  const Duration slack = std::max<Duration>(2s, s.report_every);
+  const Duration slack = std::max<Duration>(2s, s.heartbeat_interval);
   const auto drifted = to_duration(Seconds(seconds(s.lease) * (1 + 2 * kClockDrift)));
   const Duration limit = s.cancel_within - drifted - slack;
   if (limit < 2s) {
--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -33,7 +33,7 @@
   std::vector<std::string> zones;
   std::map<std::string, TeamSettings> teams;
   std::vector<Objective> objectives;
-  Duration report_every{}, lease{}, gang_wait{}, gang_peer{}, cancel_within{};
+  Duration heartbeat_interval{}, lease{}, gang_wait{}, gang_peer{}, cancel_within{};
   double state_rps = 0, state_write_rps = 0;
   std::size_t value_bytes = 0, txn_ops = 0;
   double cloud_rps = 0;
@@ -62,7 +62,7 @@
 Settings load_settings(const std::string& path);
 
 // How old the leader's view of the live jobs may be, counted from when it was asked for, while it
-// answers reports. Each answer may renew a lease, so a cancellation that it cannot see yet takes
+// answers heartbeats. Each answer may renew a lease, so a cancellation that it cannot see yet takes
 // effect within this and a lease; see "Why cancelled tasks end in time" in docs/design.md.
 Duration view_limit(const Settings& settings);
 
--- a/src/duties/machine_operations.cpp
+++ b/src/duties/machine_operations.cpp
@@ -249,7 +249,7 @@
   });
 }
 
-// The report of who did what is made from these lines: see docs/operations/machine-duties.md.
+// The heartbeat of who did what is made from these lines: see docs/operations/machine-duties.md.
 void MachineOperations::log_event(std::string_view event, const Operation& o) {
   if (o.kind == OperationKind::Rent) {
     log::info("operation {} {}: rent {} of {} {} in {}, granted {}", o.name, event, o.rental.count,
--- a/src/fleet/commands.cpp
+++ b/src/fleet/commands.cpp
@@ -1,4 +1,4 @@
-// What the answer to a report orders: stops, clears, and starts of what is planned there.
+// What the answer to a heartbeat orders: stops, clears, and starts of what is planned there.
 
 #include "fleet/fleet.hpp"
 #include "sched/score.hpp"
@@ -11,10 +11,10 @@
 
 }  // namespace
 
-// Any answer may renew the worker's lease, whatever else the report is good for, so none leaves a
-// task running whose job has ended: through one leader after the other it could outlast cancel_s.
+// Any answer may renew the worker's lease, whatever else the heartbeat is good for, so none leaves
+// a task running whose job has ended: through one leader after the other it could outlast cancel_s.
 // What an earlier leader started was live when this term's view was asked for, unless it had ended.
-std::vector<Command> Fleet::stops_for_ended(const WorkerReport& r) const {
+std::vector<Command> Fleet::stops_for_ended(const Heartbeat& r) const {
   std::vector<Command> out;
   for (const auto& t : r.tasks) {
     if (t.state != TaskState::Exited && jobs_.find(t.task.job) == nullptr) {
@@ -72,7 +72,7 @@
 }
 
 // Marks as ordered only what fits into the answer.
-void Fleet::order_starts(Machine& m, std::uint64_t seq, std::vector<Command>& out) {
+void Fleet::order_starts(Machine& m, std::uint64_t sequence, std::vector<Command>& out) {
   if (!m.rostered || starts_held_ || !usable(m)) return;
   for (auto& [key, o] : m.attempts) {
     if (out.size() >= kMostCommands) return;
@@ -81,12 +81,12 @@
     Command start{Command::Op::Start, o.task, o.attempt};
     start.interval = checkpoint_interval(*job, m);
     o.phase = TaskAttempt::Phase::Dispatched;
-    o.dispatched_sequence = seq;
+    o.dispatched_sequence = sequence;
     out.push_back(std::move(start));
   }
 }
 
-std::vector<Command> Fleet::commands_for(Machine& m, std::uint64_t seq) {
+std::vector<Command> Fleet::commands_for(Machine& m, std::uint64_t sequence) {
   std::vector<Command> out, acknowledgements;
   bool any_planned = false;
   for (auto& [key, o] : m.attempts) {
@@ -102,7 +102,7 @@
   if (out.size() > kMostCommands) out.resize(kMostCommands);
   if (any_planned) {
     discard_stale_assignments(m);
-    order_starts(m, seq, out);
+    order_starts(m, sequence, out);
   }
   return out;
 }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -12,7 +12,7 @@
 constexpr auto kTick = 250ms;
 constexpr auto kSumUpEvery = 10s;
 constexpr auto kSizesEvery = 1s;
-constexpr auto kReportPatience = 500ms;  // beyond the longest time between a worker's reports
+constexpr auto kHeartbeatGrace = 500ms;  // beyond the longest time between a worker's reports
 constexpr std::ptrdiff_t kSeveral = 3;
 constexpr auto kFlushEvery = 3s;  // of a job's progress
 constexpr auto kWatchWait = 5s;
@@ -32,7 +32,7 @@
       token_(election.token()),
       elected_at_(runtime.now()),
       earlier_leaders_end_(election.earlier_leaders_end()),
-      heard_at_(runtime.now()) {}
+      last_heartbeat_at_(runtime.now()) {}
 
 void Fleet::start() {
   load();
@@ -77,7 +77,7 @@
   std::size_t up = 0, waiting = 0;
   for (const auto& [id, m] : machines_.all()) {
     const auto* type = catalog_.find(m.type);
-    if (type == nullptr || !m.reported || m.silent) continue;
+    if (type == nullptr || !m.reconciled || m.silent) continue;
     ++up;
     room.add(sched::Resources{type->cpus, type->gpus, type->memory_gb});
     used.add(m.usage.used);
@@ -90,18 +90,19 @@
 }
 
 bool Fleet::usable(const Machine& m, TimePoint now) const {
-  return m.reported && !m.silent && m.service == Machine::Service::InUse && !m.faulty &&
+  return m.reconciled && !m.silent && m.service == Machine::Service::InUse && !m.faulty &&
          !m.goes_at && !m.unresponsive_since && now >= m.no_room_until && now >= m.paused_until &&
-         now - m.last_report < settings_.report_every * 5 / 2 + 1s;
+         now - m.last_heartbeat < settings_.heartbeat_interval * 5 / 2 + 1s;
 }
 
-bool Fleet::hears_no_worker() const {
-  if (!loaded_ || runtime_.now() - heard_at_ < settings_.report_every * 5 / 4 + kReportPatience) {
+bool Fleet::heartbeats_lost() const {
+  if (!loaded_ || runtime_.now() - last_heartbeat_at_ <
+                      settings_.heartbeat_interval * 5 / 4 + kHeartbeatGrace) {
     return false;
   }
   const auto& all = machines_.all();
   return std::count_if(all.begin(), all.end(), [](const auto& m) {
-           return !m.second.silent && (m.second.reported || m.second.rostered);
+           return !m.second.silent && (m.second.reconciled || m.second.rostered);
          }) >= kSeveral;
 }
 
@@ -146,7 +147,7 @@
 std::map<std::pair<std::string, bool>, std::size_t> Fleet::group_sizes() const {
   std::map<std::pair<std::string, bool>, std::size_t> out;
   for (const auto& [id, m] : machines_.all()) {
-    if (m.reported && !m.silent) ++out[{m.zone, m.spot}];
+    if (m.reconciled && !m.silent) ++out[{m.zone, m.spot}];
   }
   return out;
 }
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// One term of leadership: the wanted state (live jobs done) against what the workers report, and
+// One term of leadership: the wanted state (live jobs done) against what the workers heartbeat, and
 // the loops that work out the difference. A Fleet lives from one election to its loss; its
-// successor starts from the state service and the workers' reports.
+// successor starts from the state service and the workers' heartbeats.
 
 #include <deque>
 #include <functional>
@@ -54,7 +54,7 @@
   void stop() { stopped_ = true; }
 
   // Only while current(): each answer may renew a lease.
-  HttpResponse report(const WorkerReport& report);
+  HttpResponse on_heartbeat(const Heartbeat& heartbeat);
 
   bool loaded() const { return loaded_; }
   // Whether the view of the live jobs is recent enough for reports to be answered.
@@ -64,12 +64,12 @@
   // While others may confirm cancellations that this node cannot see, nothing new is started.
   void hold_starts(bool hold) { starts_held_ = hold; }
   bool settled() const { return settled_; }
-  // Whether no report has come for so long, from several machines, that they cannot all be at
+  // Whether no heartbeat has come for so long, from several machines, that they cannot all be at
   // fault.
-  bool hears_no_worker() const;
-  // When the last report came; from none in this term, when it began.
-  TimePoint heard_at() const { return heard_at_; }
-  bool heard_any() const { return heard_any_; }
+  bool heartbeats_lost() const;
+  // When the last heartbeat came; from none in this term, when it began.
+  TimePoint last_heartbeat_at() const { return last_heartbeat_at_; }
+  bool any_heartbeat() const { return any_heartbeat_; }
   // Whether the machine may be given new work.
   bool usable(const Machine& machine) const { return usable(machine, runtime_.now()); }
   bool usable(const Machine& machine, TimePoint now) const;
@@ -91,7 +91,7 @@
   // Whether the machine gets no new work and has none.
   bool known_empty(const std::string& machine) const;
   // The returns that earlier leaders have made durable have all been told of. Nothing is started,
-  // and no report answered, before.
+  // and no heartbeat answered, before.
   void open_returns_known();
   // Empties one costly machine whose tasks can save and fit on others in use, if there is one
   // that may be spared.
@@ -122,7 +122,7 @@
   void flush(Job& job);
   void finish(Job& job);
   bool never_sees_token(const Machine& machine) const;
-  void direct_answer(const WorkerReport& report);
+  void direct_answer(const Heartbeat& heartbeat);
   void check_responsiveness(Machine& machine, const Events& events);
   void seems_unresponsive(Machine& machine);
   void handle(Machine& machine, const Events& events);
@@ -147,7 +147,7 @@
   void stop_gang(const Job& job, Seconds grace, DirectStops& direct);
   void send_direct(const DirectStops& stops, bool read_answers = false);
   void pump_direct();
-  std::vector<Command> stops_for_ended(const WorkerReport& report) const;
+  std::vector<Command> stops_for_ended(const Heartbeat& heartbeat) const;
   void plan();
   void plan_soon();
   // Its refs are places in planned_machines_ and planned_jobs_, which hold until the next one.
@@ -172,11 +172,11 @@
       std::vector<CandidateRef>& refs) const;
   Seconds work_lost_by_stop(const TaskAttempt& task_attempt) const;
   void preempt(sched::Snapshot& snapshot, sched::Plan& plan);
-  std::vector<Command> commands_for(Machine& machine, std::uint64_t seq);
+  std::vector<Command> commands_for(Machine& machine, std::uint64_t sequence);
   std::optional<Command> stop_for(Machine& machine, TaskAttempt& task_attempt);
   bool may_acknowledge(const TaskAttempt& task_attempt) const;
   void discard_stale_assignments(Machine& machine);
-  void order_starts(Machine& machine, std::uint64_t seq, std::vector<Command>& out);
+  void order_starts(Machine& machine, std::uint64_t sequence, std::vector<Command>& out);
   std::optional<Seconds> checkpoint_interval(const Job& job, const Machine& machine) const;
   bool can_move(const Machine& machine) const;
   void empty(Machine& machine);
@@ -202,12 +202,12 @@
 
   Duration view_limit_, watch_wait_;
   std::uint64_t token_ = 0, attempts_ = 0;
-  TimePoint elected_at_{}, earlier_leaders_end_{}, heard_at_{}, next_plan_{}, next_preempt_{},
-      summed_up_at_{};
+  TimePoint elected_at_{}, earlier_leaders_end_{}, last_heartbeat_at_{}, next_plan_{},
+      next_preempt_{}, summed_up_at_{};
   TimePoint view_asked_at_{};  // of the newest view that has arrived
   bool roster_loaded_ = false, open_returns_known_ = false;
   bool stopped_ = false, loaded_ = false, settled_ = false, plan_wanted_ = false, plan_due_ = false;
-  bool starts_held_ = false, heard_any_ = false;
+  bool starts_held_ = false, any_heartbeat_ = false;
   std::deque<Direct> directs_;
   std::size_t directs_in_flight_ = 0;
   // Cancelled, as siblings say: the watch may yet tell of them as live.
--- a/src/fleet/gangs.cpp
+++ b/src/fleet/gangs.cpp
@@ -35,10 +35,10 @@
   std::map<std::string, std::vector<Command>> by_machine;
   for (const auto& [machine, c] : stops) by_machine[machine].push_back(c);
   for (auto& [id, commands] : by_machine) {
-    // The next answers to reports say the same.
+    // The next answers to heartbeats say the same.
     if (directs_.size() >= kDirectsPerMachine * machines_.all().size()) break;
     directs_.push_back(
-        {id, std::move(commands), runtime_.now() + settings_.report_every, read_answers});
+        {id, std::move(commands), runtime_.now() + settings_.heartbeat_interval, read_answers});
   }
   pump_direct();
 }
@@ -54,8 +54,7 @@
     ++directs_in_flight_;
     runtime_.http(
         m->address,
-        {"POST", std::string(wire::kDirectPath),
-         wire::encode_direct(token_, m->session, d.commands)},
+        {"POST", std::string(wire::kDirectPath), wire::encode_direct(token_, m->epoch, d.commands)},
         kDirectTimeout,
         [self = weak_from_this(), read_answer = d.read_answer](const HttpResponse& response) {
           const auto f = self.lock();
@@ -63,7 +62,7 @@
           --f->directs_in_flight_;
           if (read_answer && response.status == 200) {
             try {
-              f->direct_answer(wire::decode_report(response.body));
+              f->direct_answer(wire::decode_heartbeat(response.body));
             } catch (const wire::BadMessage& e) {
               log::error("malformed answer to a direct command: {}", e.what());
             }
--- a/src/fleet/loading.cpp
+++ b/src/fleet/loading.cpp
@@ -127,7 +127,7 @@
     m.id = id;
     m.rostered = true;
     if (returning_.count(id) != 0) m.service = Machine::Service::Returning;
-    if (!m.reported && !m.silent) awaited_.insert(id);
+    if (!m.reconciled && !m.silent) awaited_.insert(id);
     // No earlier leader answers after that; its answers renewed no later.
     if (m.last_answered == TimePoint{}) m.last_answered = earlier_leaders_end_;
   }
@@ -195,7 +195,7 @@
   const Job* job = jobs_.find(id);
   if (job == nullptr) return;
   // Whatever of it is left serves nobody: stopped at once, and cleared when it has ended. Told
-  // directly too: an image may arrive before the next report, a machine may be out of hearing or
+  // directly too: an image may arrive before the next heartbeat, a machine may be out of hearing or
   // hang, and then carries the command out as it goes on.
   DirectStops direct;
   for (const auto& [index, assignment] : job->assignments) {
--- a/src/fleet/machines.cpp
+++ b/src/fleet/machines.cpp
@@ -82,33 +82,33 @@
 
 namespace {
 
-void take_over_state(Machine& m, const WorkerReport& r, TimePoint now) {
-  if (!m.reported) m.first_report = now;
+void take_over_state(Machine& m, const Heartbeat& r, TimePoint now) {
+  if (!m.reconciled) m.first_heartbeat = now;
   m.id = r.machine;
   m.address = r.address;
   m.type = r.type;
   m.zone = r.zone;
   m.spot = r.spot;
-  m.session = r.session;
-  m.seq = r.seq;
-  m.reported = true;
+  m.epoch = r.epoch;
+  m.sequence = r.sequence;
+  m.reconciled = true;
   m.silent = false;
-  m.last_report = now;
+  m.last_heartbeat = now;
   m.goes_at.reset();
   if (r.notice) m.goes_at = now + to_duration(*r.notice);
 }
 
-// Whether the report shows that the task's image is there.
-bool shows_image(const TaskReport& t) {
+// Whether the heartbeat shows that the task's image is there.
+bool shows_image(const TaskStatus& t) {
   if (t.state == TaskState::Exited) return t.cause == ExitCause::Done;
   return t.state != TaskState::Fetching;
 }
 
-void take_over_task(Machine& m, const TaskReport& t, TimePoint now, double cache_gb,
+void take_over_task(Machine& m, const TaskStatus& t, TimePoint now, double cache_gb,
                     std::vector<TaskEvent>& events) {
   const auto [it, adopted] = m.attempts.try_emplace({t.attempt, t.task});
   TaskAttempt& o = it->second;
-  o.observed_sequence = m.seq;
+  o.observed_sequence = m.sequence;
   if (adopted) {
     m.changed = true;
     o.task = t.task;
@@ -139,17 +139,17 @@
   if (begins_to_run) events.push_back({TaskEvent::Kind::Running, o});
 }
 
-// What the report does not name is gone, or was never started. An order sent in the answer to an
-// earlier report is settled by the next one: the worker drops the answer to a report that it has
-// given up. An exited task was cleared, as told.
+// What the heartbeat does not name is gone, or was never started. An order sent in the answer to an
+// earlier heartbeat is settled by the next one: the worker drops the answer to a heartbeat that it
+// has given up. An exited task was cleared, as told.
 void drop_unreported(Machine& m, Machines::Source source, std::vector<TaskEvent>& events) {
   for (auto it = m.attempts.begin(); it != m.attempts.end();) {
     const TaskAttempt& o = it->second;
-    // An answer to a report may be under way while a direct command is answered: only the next
+    // An answer to a heartbeat may be under way while a direct command is answered: only the next
     // report can settle what it ordered.
     const bool open =
         o.phase == TaskAttempt::Phase::Dispatched && source == Machines::Source::DirectAnswer;
-    if (o.observed_sequence == m.seq || open || o.phase == TaskAttempt::Phase::Pending) {
+    if (o.observed_sequence == m.sequence || open || o.phase == TaskAttempt::Phase::Pending) {
       ++it;
       continue;
     }
@@ -165,15 +165,16 @@
 
 }  // namespace
 
-Machines::Order Machines::apply(const WorkerReport& r, TimePoint now, double cache_gb,
+Machines::Order Machines::apply(const Heartbeat& r, TimePoint now, double cache_gb,
                                 std::vector<TaskEvent>& events, Source source) {
   Machine& m = all_[r.machine];
-  // Once a lease has run out here, what its session reported comes late, however new it looks:
+  // Once a lease has run out here, what its epoch reported comes late, however new it looks:
   // the worker has killed and forgotten all of it.
-  if (r.session < m.first_session) return Order::Late;
-  if (m.reported && std::pair(r.session, r.seq) <= std::pair(m.session, m.seq)) return Order::Late;
-  // A new session begins after the worker has killed and forgotten everything.
-  if (r.session > m.session) clear(m, events);
+  if (r.epoch < m.first_valid_epoch) return Order::Late;
+  if (m.reconciled && std::pair(r.epoch, r.sequence) <= std::pair(m.epoch, m.sequence))
+    return Order::Late;
+  // A new epoch begins after the worker has killed and forgotten everything.
+  if (r.epoch > m.epoch) clear(m, events);
   take_over_state(m, r, now);
   for (const auto& t : r.tasks) take_over_task(m, t, now, cache_gb, events);
   drop_unreported(m, source, events);
--- a/src/fleet/machines.hpp
+++ b/src/fleet/machines.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What is known of the machines: sessions, reports and the tasks that are, or may be, on them.
+// What is known of the machines: epochs, reports and the tasks that are, or may be, on them.
 // Pure state; unknown counts as present.
 
 #include <list>
@@ -56,15 +56,16 @@
 struct Machine {
   std::string id, address, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, seq = 0;
-  bool reported = false;                            // under this leader's token
-  std::pair<std::uint64_t, std::uint64_t> heard{};  // newest report arrived, of any token
-  // When this leader first answered it in its present session, as far as is known here.
+  std::uint64_t epoch = 0, sequence = 0;
+  bool reconciled = false;  // under this leader's token
+  std::pair<std::uint64_t, std::uint64_t>
+      latest_heartbeat{};  // newest report arrived, of any token
+  // When this leader first answered it in its present epoch, as far as is known here.
   std::optional<TimePoint> first_answered;
   // Sessions before this one are surely over: what they still say comes late.
-  std::uint64_t first_session = 0;
+  std::uint64_t first_valid_epoch = 0;
   bool silent = false;  // its lease has surely run out: nothing runs there
-  TimePoint first_report{}, last_report{}, last_answered{};
+  TimePoint first_heartbeat{}, last_heartbeat{}, last_answered{};
   std::optional<TimePoint> goes_at;  // spot notice
   // What it is there for. There is no way back.
   enum class Service {
@@ -75,12 +76,12 @@
   bool faulty = false;
   bool rostered = false;  // durable: a later leader will wait for it
   TimePoint no_room_until{}, paused_until{};
-  // Reports arrive, but answers seem not to: start orders in a row that never showed, sessions lost
-  // in a row, since when it has seemed so, and until when it must show that it hears us by keeping
-  // its session.
-  std::uint32_t starts_unseen = 0, sessions_lost = 0;
+  // Heartbeats arrive, but answers seem not to: start orders in a row that never showed, epochs
+  // lost in a row, since when it has seemed so, and until when it must show that it hears us by
+  // keeping its epoch.
+  std::uint32_t starts_unseen = 0, epochs_lost = 0;
   std::optional<TimePoint> unresponsive_since;
-  TimePoint unresponsive_until{}, session_lost_at{};
+  TimePoint unresponsive_until{}, epoch_lost_at{};
   std::set<std::string> failed_jobs;  // since its last success
   std::uint32_t failures = 0;
   TimePoint idle_since{};
@@ -98,7 +99,7 @@
   void use_image(const JobSpec& job, double cache_gb);
 };
 
-// What a report, or the end of a lease, says about a task.
+// What a heartbeat, or the end of a lease, says about a task.
 struct TaskEvent {
   enum class Kind { Adopted, Started, Running, Exited, NotStarted, Vanished } kind;
   TaskAttempt task_attempt;  // as it was, or is, at that moment
@@ -113,11 +114,11 @@
   const std::map<std::string, Machine>& all() const { return all_; }
 
   enum class Order { New, Late };
-  // A report, or the same as the answer to a direct command.
-  enum class Source { Report, DirectAnswer };
+  // A heartbeat, or the same as the answer to a direct command.
+  enum class Source { Heartbeat, DirectAnswer };
   // Applies what was made under this leader's token. Late ones change nothing.
-  Order apply(const WorkerReport& report, TimePoint now, double cache_gb,
-              std::vector<TaskEvent>& events, Source source = Source::Report);
+  Order apply(const Heartbeat& heartbeat, TimePoint now, double cache_gb,
+              std::vector<TaskEvent>& events, Source source = Source::Heartbeat);
   // Its lease has surely run out, or the cloud has confirmed that it is gone.
   void clear(Machine& machine, std::vector<TaskEvent>& events);
   void erase(const std::string& id) { all_.erase(id); }
--- a/src/fleet/moving.cpp
+++ b/src/fleet/moving.cpp
@@ -13,8 +13,8 @@
 
 constexpr Seconds kEndsSoon{15};
 constexpr auto kMoveEvery = 30s;
-// Machines known to be gone; their names are not used again, and late copies of their reports come
-// within minutes.
+// Machines known to be gone; their names are not used again, and late copies of their heartbeats
+// come within minutes.
 constexpr std::size_t kMostGone = 20000;
 constexpr double kMoveWorth = 4;
 // Machines at a time, and of a large fleet one in so many: their tasks all restart.
@@ -38,7 +38,7 @@
 
 bool Fleet::known_empty(const std::string& id) const {
   const Machine* m = machines_.find(id);
-  return m != nullptr && m->reported && m->service != Machine::Service::InUse &&
+  return m != nullptr && m->reconciled && m->service != Machine::Service::InUse &&
          m->attempts.empty();
 }
 
--- a/src/fleet/placement.cpp
+++ b/src/fleet/placement.cpp
@@ -133,7 +133,7 @@
   return Seconds(runtime_.now() - o.running_since);
 }
 
-// One whose start is under way is told to stop by the answer to the report that shows it: on a
+// One whose start is under way is told to stop by the answer to the heartbeat that shows it: on a
 // machine with many short tasks there is always one such.
 std::vector<sched::PreemptionCandidate> Fleet::preemption_candidates(
     const sched::Snapshot& s, const sched::Plan& plan, std::vector<CandidateRef>& refs) const {
--- a/src/fleet/reports.cpp
+++ b/src/fleet/reports.cpp
@@ -1,4 +1,4 @@
-// Reports in, commands out: what the workers say is taken over, and what follows from it.
+// Heartbeats in, commands out: what the workers say is taken over, and what follows from it.
 
 #include <algorithm>
 
@@ -11,9 +11,9 @@
 namespace asterstair::fleet {
 namespace {
 
-constexpr auto kLeaseMargin = 300ms;        // beyond drift: steps between clock reading and action
-constexpr std::uint32_t kSessionsLost = 2;  // sessions in a row lost without a sign of hearing
-constexpr std::uint32_t kStartsUnseen = 2;  // answers in a row whose orders never showed
+constexpr auto kLeaseMargin = 300ms;         // beyond drift: steps between clock reading and action
+constexpr std::uint32_t kMaxLostEpochs = 2;  // epochs in a row lost without a sign of hearing
+constexpr std::uint32_t kStartsUnseen = 2;   // answers in a row whose orders never showed
 // For so much of a lease, answers that bring the token are repeated.
 constexpr int kTokenPatience = 3, kTokenPatienceOf = 5;
 constexpr auto kNoRoomPause = 3s;
@@ -48,10 +48,10 @@
 
 }  // namespace
 
-HttpResponse Fleet::report(const WorkerReport& r) {
+HttpResponse Fleet::on_heartbeat(const Heartbeat& r) {
   const auto now = runtime_.now();
-  heard_at_ = now;
-  heard_any_ = true;
+  last_heartbeat_at_ = now;
+  any_heartbeat_ = true;
   // The cloud has confirmed that it is gone, and names are not used twice: a late copy.
   if (gone_.count(r.machine) != 0) return {200, wire::encode_commands(token_, {})};
   Machine& m = machines_.at(r.machine);
@@ -59,60 +59,60 @@
     m.id = r.machine;
     if (returning_.count(m.id) != 0) m.service = Machine::Service::Returning;
   }
-  // An answer renews the worker's lease from when the report was sent. A report that is not newer
-  // than one that has arrived was sent before that one arrived, so an answer to it can renew the
-  // lease no further than what was counted then. Late copies must not keep a dead machine's
+  // An answer renews the worker's lease from when the heartbeat was sent. A heartbeat that is not
+  // newer than one that has arrived was sent before that one arrived, so an answer to it can renew
+  // the lease no further than what was counted then. Late copies must not keep a dead machine's
   // tasks waiting.
-  const std::pair age(r.session, r.seq);
-  if (age > m.heard) {
+  const std::pair age(r.epoch, r.sequence);
+  if (age > m.latest_heartbeat) {
     if (r.token != token_ && never_sees_token(m))
       return {503, wire::encode_error("answers are lost")};
     if (!m.first_answered) m.first_answered = now;
-    m.heard = age;
+    m.latest_heartbeat = age;
     // Until it has seen this leader's token, an earlier leader that is entitled still may renew its
     // lease as well.
     m.last_answered = r.token == token_ ? now : std::max(now, earlier_leaders_end_);
   }
   if (r.token != token_) {
     // Sent before the worker knew this leader: what it shows may be older than the last leader's
-    // doings. The answer carries the token; the next report counts.
+    // doings. The answer carries the token; the next heartbeat counts.
     return {200, wire::encode_commands(token_, stops_for_ended(r))};
   }
-  const bool session_lost = m.reported && r.session > m.session;
+  const bool epoch_lost = m.reconciled && r.epoch > m.epoch;
   Events events;
   if (machines_.apply(r, now, cache_gb(r.type), events) == Machines::Order::Late) {
     return {200, wire::encode_commands(token_, stops_for_ended(r))};
   }
   awaited_.erase(m.id);
   if (!m.rostered) roster_waiting_.insert(m.id);
-  // A cut may cost sessions, of which all is heard at once when it ends. Losing one after the other
-  // while reports arrive shows that answers do not.
-  if (session_lost && now - m.session_lost_at > settings_.lease / 2) {
-    m.session_lost_at = now;
-    if (++m.sessions_lost >= kSessionsLost) seems_unresponsive(m);
+  // A cut may cost epochs, of which all is heard at once when it ends. Losing one after the other
+  // while heartbeats arrive shows that answers do not.
+  if (epoch_lost && now - m.epoch_lost_at > settings_.lease / 2) {
+    m.epoch_lost_at = now;
+    if (++m.epochs_lost >= kMaxLostEpochs) seems_unresponsive(m);
   }
   handle(m, events);
   check_responsiveness(m, events);
   check_notice(m);
   if (!settled_) check_settled();
   if (plan_wanted_) plan_soon();
-  return {200, wire::encode_commands(token_, commands_for(m, r.seq))};
+  return {200, wire::encode_commands(token_, commands_for(m, r.sequence))};
 }
 
 // Answers to a machine have been lost for long: it reports, and has never seen this leader's token.
 // Not answered any more, its lease surely runs out, here too, and the term settles without it. That
-// a later session shows in its reports would prove nothing: a late copy may have been the first to
-// arrive, and the later session may hold tasks that an earlier leader started.
+// a later epoch shows in its heartbeats would prove nothing: a late copy may have been the first to
+// arrive, and the later epoch may hold tasks that an earlier leader started.
 bool Fleet::never_sees_token(const Machine& m) const {
-  return !m.reported && !m.silent && m.first_answered &&
+  return !m.reconciled && !m.silent && m.first_answered &&
          runtime_.now() - *m.first_answered > settings_.lease * kTokenPatience / kTokenPatienceOf;
 }
 
-// The answer to a direct command shows at once what the next report would show: room that has
+// The answer to a direct command shows at once what the next heartbeat would show: room that has
 // come free, above all.
-void Fleet::direct_answer(const WorkerReport& r) {
+void Fleet::direct_answer(const Heartbeat& r) {
   Machine* m = machines_.find(r.machine);
-  if (m == nullptr || !m->reported || m->silent || r.token != token_ || r.session != m->session) {
+  if (m == nullptr || !m->reconciled || m->silent || r.token != token_ || r.epoch != m->epoch) {
     return;
   }
   Events events;
@@ -126,12 +126,12 @@
 }
 
 // A machine whose reports arrive while nothing reaches it takes up work that never starts. After a
-// few orders that did not show it must keep its session for a whole lease, which it can only if
+// few orders that did not show it must keep its epoch for a whole lease, which it can only if
 // answers reach it, before it gets more.
 void Fleet::check_responsiveness(Machine& m, const Events& events) {
   for (const auto& e : events) {
     if (e.kind == TaskEvent::Kind::Started) {
-      m.starts_unseen = m.sessions_lost = 0;
+      m.starts_unseen = m.epochs_lost = 0;
       if (m.unresponsive_since && runtime_.now() >= m.unresponsive_until)
         m.unresponsive_since.reset();
     }
@@ -143,7 +143,7 @@
   }
   if (m.unresponsive_since && runtime_.now() >= m.unresponsive_until) {
     m.unresponsive_since.reset();
-    m.starts_unseen = m.sessions_lost = 0;
+    m.starts_unseen = m.epochs_lost = 0;
   }
 }
 
@@ -153,8 +153,8 @@
     m.unresponsive_since = now;
     log::info("machine {} reports, but answers seem not to reach it", m.id);
   }
-  // A lease that runs out shows in the report after that.
-  m.unresponsive_until = now + settings_.lease + settings_.report_every * 2 + kLeaseMargin;
+  // A lease that runs out shows in the heartbeat after that.
+  m.unresponsive_until = now + settings_.lease + settings_.heartbeat_interval * 2 + kLeaseMargin;
 }
 
 void Fleet::handle(Machine& m, const Events& events) {
@@ -326,9 +326,9 @@
     roster_stale_ = true;
     awaited_.erase(id);
     m.first_answered.reset();
-    // Reports made under an earlier token count as well: their answers renewed no later.
-    m.first_session = std::max(m.session, m.heard.first) + 1;
-    if (m.reported && !m.goes_at) losses_.lost({m.zone, m.spot}, now);
+    // Heartbeats made under an earlier token count as well: their answers renewed no later.
+    m.first_valid_epoch = std::max(m.epoch, m.latest_heartbeat.first) + 1;
+    if (m.reconciled && !m.goes_at) losses_.lost({m.zone, m.spot}, now);
     log::info("machine {}: its lease has run out", id);
     Events events;
     machines_.clear(m, events);
--- a/src/lease/acquisition.cpp
+++ b/src/lease/acquisition.cpp
@@ -23,20 +23,20 @@
 }
 
 void Lease::check_later(Duration delay) {
-  const auto epoch = ++epoch_;
-  runtime_.after(delay, [this, epoch] {
-    if (epoch == epoch_) check();
+  const auto generation = ++generation_;
+  runtime_.after(delay, [this, generation] {
+    if (generation == generation_) check();
   });
 }
 
 void Lease::check() {
-  const auto epoch = ++epoch_;
+  const auto generation = ++generation_;
   if (!campaigning_) return;
   // Listed, not read by its name: a list tells the revision to watch from. The key's own version
   // falls out of what the service remembers once enough else has changed, and a watch from there
   // is turned away each time.
-  store_.list(options_.key, [this, epoch](const store::ListResult& r) {
-    if (epoch != epoch_ || held()) return;
+  store_.list(options_.key, [this, generation](const store::ListResult& r) {
+    if (generation != generation_ || held()) return;
     if (!r.ok) {
       check_later(kCheckRetry);
       return;
@@ -98,17 +98,18 @@
 }
 
 void Lease::follow(std::uint64_t after) {
-  const auto epoch = ++epoch_;
-  store_.watch(options_.key, after, kWatchWait, [this, epoch, after](const store::WatchResult& r) {
-    if (epoch != epoch_) return;
-    if (r.outcome == store::WatchResult::Outcome::Events && r.events.items.empty()) {
-      follow(std::max(after, r.events.revision));
-    } else if (r.outcome == store::WatchResult::Outcome::Unavailable) {
-      check_later(kCheckRetry);
-    } else {
-      check();
-    }
-  });
+  const auto generation = ++generation_;
+  store_.watch(options_.key, after, kWatchWait,
+               [this, generation, after](const store::WatchResult& r) {
+                 if (generation != generation_) return;
+                 if (r.outcome == store::WatchResult::Outcome::Events && r.events.items.empty()) {
+                   follow(std::max(after, r.events.revision));
+                 } else if (r.outcome == store::WatchResult::Outcome::Unavailable) {
+                   check_later(kCheckRetry);
+                 } else {
+                   check();
+                 }
+               });
 }
 
 // Claims from the term with this version, whose holder has resigned or ended. If that term was
@@ -119,9 +120,9 @@
     claim(version, contested);
     return;
   }
-  const auto epoch = ++epoch_;
-  store_.get_now(options_.bound_note_key, [this, epoch, version](const store::ReadResult& r) {
-    if (epoch != epoch_) return;
+  const auto generation = ++generation_;
+  store_.get_now(options_.bound_note_key, [this, generation, version](const store::ReadResult& r) {
+    if (generation != generation_) return;
     bool ended = false;
     if (r.outcome == store::ReadOutcome::Found) {
       try {
@@ -136,11 +137,11 @@
 
 // `contested`: whether a holder before this claim may be entitled still.
 void Lease::claim(std::uint64_t expected_version, bool contested) {
-  const auto epoch = ++epoch_;
+  const auto generation = ++generation_;
   const auto sent = runtime_.now();
-  store_.create_grant(options_.ttl, [this, epoch, sent, expected_version,
+  store_.create_grant(options_.ttl, [this, generation, sent, expected_version,
                                      contested](std::optional<std::uint64_t> grant) {
-    if (epoch != epoch_) return;
+    if (generation != generation_) return;
     if (!grant) {
       check_later(kCheckRetry);
       return;
@@ -158,8 +159,8 @@
                          store::encode_holder({options_.node, pending_.id, contested}),
                          pending_.grant});
   store_.write(std::move(txn), store::Urgency::User,
-               [this, epoch = epoch_, contested](const store::WriteResult& r) {
-                 if (epoch != epoch_) return;
+               [this, generation = generation_, contested](const store::WriteResult& r) {
+                 if (generation != generation_) return;
                  if (r.outcome == store::WriteOutcome::Committed) {
                    acquire(r.revision, contested);
                  } else if (r.outcome == store::WriteOutcome::Conflict) {
--- a/src/lease/lease.cpp
+++ b/src/lease/lease.cpp
@@ -15,10 +15,10 @@
 constexpr auto kRenewRetry = 300ms;
 // So long a node that has resigned leaves the record to its siblings.
 constexpr auto kOthersFirst = 5s;
-constexpr auto kHeartbeatEvery = 250ms;
+constexpr auto kPauseCheckInterval = 250ms;
 // A process that has stood still for longer may have been taken for silent by its siblings: it
 // renews before it acts again.
-constexpr auto kLongestPause = 3s;
+constexpr auto kMaxPause = 3s;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
 
 bool Lease::entitled() const {
   const auto now = runtime_.now();
-  return held() && now < entitled_until_ && now - last_heartbeat_ <= kLongestPause;
+  return held() && now < entitled_until_ && now - last_pause_check_ <= kMaxPause;
 }
 
 TimePoint Lease::entitlement_end(TimePoint renewal_sent) const {
@@ -42,7 +42,7 @@
   holder_version_ = 0;
   entitled_until_ = entitlement_end(pending_.sent);
   pending_ = {};
-  last_heartbeat_ = now;
+  last_pause_check_ = now;
   // An earlier holder has renewed before this claim was carried out, if at all: see renew().
   earlier_holders_end_ = now;
   if (contested) {
@@ -51,7 +51,7 @@
   bound_to_be_noted_ = contested && !options_.bound_note_key.empty();
   noting_bound_ = false;
   events_.acquired(token_, contested);
-  heartbeat();
+  check_for_pause();
   renew();
 }
 
@@ -59,29 +59,29 @@
 // claim by another node comes after the read, so it ends within the ttl of any such claim, although
 // the grant itself may be touched for longer.
 void Lease::renew() {
-  const auto epoch = ++epoch_;
+  const auto generation = ++generation_;
   const auto sent = runtime_.now();
-  store_.get_now(options_.key, [this, epoch, sent](const store::ReadResult& r) {
-    if (epoch != epoch_) return;
+  store_.get_now(options_.key, [this, generation, sent](const store::ReadResult& r) {
+    if (generation != generation_) return;
     if (r.outcome == store::ReadOutcome::Unavailable) {
-      renew_after(epoch, kRenewRetry);
+      renew_after(generation, kRenewRetry);
     } else if (r.outcome == store::ReadOutcome::Missing || r.item.version != token_) {
       lose();
     } else {
-      touch(epoch, sent);
+      touch(generation, sent);
     }
   });
 }
 
-void Lease::touch(std::uint64_t epoch, TimePoint sent) {
-  store_.touch_grant(grant_, [this, epoch, sent](store::GrantOutcome r) {
-    if (epoch != epoch_) return;
+void Lease::touch(std::uint64_t generation, TimePoint sent) {
+  store_.touch_grant(grant_, [this, generation, sent](store::GrantOutcome r) {
+    if (generation != generation_) return;
     if (r == store::GrantOutcome::Gone) {
       lose();
       return;
     }
     if (r == store::GrantOutcome::Unavailable) {
-      renew_after(epoch, kRenewRetry);
+      renew_after(generation, kRenewRetry);
       return;
     }
     const bool resumed = !entitled();
@@ -89,33 +89,33 @@
     if (resumed && entitled()) {
       log::info("lease {}: entitled again with token {}", options_.key, token_);
     }
-    renew_after(epoch, std::min<Duration>(kRenewEvery, options_.ttl / 6));
+    renew_after(generation, std::min<Duration>(kRenewEvery, options_.ttl / 6));
   });
 }
 
-void Lease::renew_after(std::uint64_t epoch, Duration delay) {
+void Lease::renew_after(std::uint64_t generation, Duration delay) {
   if (!entitled()) {
     log::debug("lease {}: not entitled, the grant has not been renewed", options_.key);
   }
-  runtime_.after(delay, [this, epoch] {
-    if (epoch == epoch_) renew();
+  runtime_.after(delay, [this, generation] {
+    if (generation == generation_) renew();
   });
 }
 
 // A process may stand still and find its timers and sockets as it left them. What its siblings
 // have done meanwhile it learns from the state service only.
-void Lease::heartbeat() {
+void Lease::check_for_pause() {
   const auto now = runtime_.now();
-  const bool paused = now - last_heartbeat_ > kLongestPause;
-  last_heartbeat_ = now;
+  const bool paused = now - last_pause_check_ > kMaxPause;
+  last_pause_check_ = now;
   if (paused) {
     log::info("stood still; lease {} is used again only once it is renewed", options_.key);
     entitled_until_ = {};
     renew();
   }
   note_earlier_holders_ended();
-  runtime_.after(kHeartbeatEvery, [this, token = token_] {
-    if (token == token_) heartbeat();
+  runtime_.after(kPauseCheckInterval, [this, token = token_] {
+    if (token == token_) check_for_pause();
   });
 }
 
@@ -139,7 +139,7 @@
 void Lease::withdraw() {
   campaigning_ = false;
   if (!held()) {
-    ++epoch_;  // a claim under way is not followed up
+    ++generation_;  // a claim under way is not followed up
     return;
   }
   log::info("lease {}: token {} is given up", options_.key, token_);
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -88,9 +88,9 @@
 
   // ResourceUsage, in lease.cpp.
   void renew();
-  void touch(std::uint64_t epoch, TimePoint sent);
-  void renew_after(std::uint64_t epoch, Duration delay);
-  void heartbeat();
+  void touch(std::uint64_t generation, TimePoint sent);
+  void renew_after(std::uint64_t generation, Duration delay);
+  void check_for_pause();
   void note_earlier_holders_ended();
   void lose();
   TimePoint entitlement_end(TimePoint renewal_sent) const;
@@ -106,12 +106,12 @@
   TimePoint no_claim_before_{};            // after a resignation others are to claim first
   TimePoint next_contest_{};
   PendingClaim pending_;
-  TimePoint entitled_until_{}, last_heartbeat_{}, earlier_holders_end_{};
+  TimePoint entitled_until_{}, last_pause_check_{}, earlier_holders_end_{};
   // The record says that the term is contested, and not yet that the bound is over.
   bool bound_to_be_noted_ = false, noting_bound_ = false;
   std::string holder_;
   std::uint64_t holder_version_ = 0;  // of the record as another node holds it; 0: unknown
-  std::uint64_t epoch_ = 0;           // answers to requests of an earlier epoch are dropped
+  std::uint64_t generation_ = 0;      // answers to requests of an earlier generation are dropped
 };
 
 }  // namespace asterstair::lease
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr auto kHintsEvery = 1s;
-constexpr auto kStoreHeardWithin = 3s;
+constexpr auto kStoreAnswerWindow = 3s;
 // A leader that a majority has not heard for so long is replaced. Hints come every kHintsEvery, and
 // a worker that gets no answer looks for another node after 4 s: by then there should be one.
 constexpr auto kLeaderSilence = 4500ms;
@@ -113,10 +113,10 @@
     return static_cast<std::uint32_t>(std::min<std::int64_t>(age.count(), wire::kUnknownAge));
   };
   hint.store_age_ms = age_ms(store_.last_answer());
-  hint.report_age_ms = age_ms(report_heard_);
+  hint.heartbeat_age_ms = age_ms(last_heartbeat_);
   hint.resigned = election_.resigned();
   if (!hint.leader.empty() && !election_.leading()) {
-    hint.leader_age_ms = age_ms(siblings_.last_heard(hint.leader));
+    hint.leader_age_ms = age_ms(siblings_.last_seen(hint.leader));
   }
   return hint;
 }
@@ -173,8 +173,8 @@
   const auto& siblings = siblings_.all();
   return std::any_of(siblings.begin(), siblings.end(), [&](const auto& sibling) {
     const SiblingTable::Status& s = sibling.second;
-    return !SiblingTable::recent(s, now) || s.heard < since + kSiblingKnows ||
-           s.store_answered > since;
+    return !SiblingTable::recent(s, now) || s.last_seen < since + kSiblingKnows ||
+           s.store_last_answer > since;
   });
 }
 
@@ -186,18 +186,18 @@
   const auto now = runtime_.now();
   const bool store_lost =
       store_.failing_since() != TimePoint{} && now - store_.failing_since() > kStoreLost;
-  const bool workers_lost = fleet_->hears_no_worker() && store_.heard_lately(kStoreHeardWithin);
+  const bool workers_lost = fleet_->heartbeats_lost() && store_.answered_within(kStoreAnswerWindow);
   if (!store_lost && !workers_lost) return;
   for (const auto& [node, s] : siblings_.all()) {
     if (!SiblingTable::recent(s, now) || !s.sees_store) continue;
     // Answered there after it first failed here: an outage would be the same for all, and must not
     // cost the leader its entitlement.
-    const bool store_better = store_lost && s.store_answered > store_.failing_since();
+    const bool store_better = store_lost && s.store_last_answer > store_.failing_since();
     // One that has not heard a worker in all its term asks more: workers that it does not hear try
     // the others. Where nobody hears them all machines may be gone, and leaders would hand over for
     // ever, none of them waiting until the leases have run out.
     const bool workers_better =
-        workers_lost && (fleet_->heard_any() || s.report_heard > fleet_->heard_at());
+        workers_lost && (fleet_->any_heartbeat() || s.last_heartbeat > fleet_->last_heartbeat_at());
     if (!store_better && !workers_better) continue;
     log::info("{} is better off: the {} here", node,
               store_better ? "state service does not answer" : "workers are not heard");
@@ -212,7 +212,7 @@
 void Node::check_leader_silence() {
   runtime_.after(kLeaderSilenceCheckEvery, [this] { check_leader_silence(); });
   const std::string& leader = election_.leader();
-  if (election_.leading() || leader.empty() || !store_.heard_lately(kStoreHeardWithin)) return;
+  if (election_.leading() || leader.empty() || !store_.answered_within(kStoreAnswerWindow)) return;
   if (siblings_.majority_misses(leader, kLeaderSilence, runtime_.now())) {
     election_.claim_from_silent_leader();
   }
@@ -242,7 +242,7 @@
 // Keeps an idle node's view of the state service current.
 void Node::probe_store() {
   runtime_.after(kProbeEvery, [this] { probe_store(); });
-  if (store_.heard_lately(kProbeEvery)) return;
+  if (store_.answered_within(kProbeEvery)) return;
   store_.get(store::kLeaderKey, [](const store::ReadResult&) {});
 }
 
@@ -260,8 +260,8 @@
   return {200, "{}"};
 }
 
-void Node::report(std::string body, const std::function<void(HttpResponse)>& respond) {
-  report_heard_ = runtime_.now();
+void Node::on_heartbeat(std::string body, const std::function<void(HttpResponse)>& respond) {
+  last_heartbeat_ = runtime_.now();
   if (!election_.leading()) {
     std::string leader = election_.leader();
     if (leader.empty()) leader = hinted_leader_;
@@ -277,9 +277,9 @@
     respond(failure(503, "not entitled to give commands at present"));
     return;
   }
-  WorkerReport r;
+  Heartbeat r;
   try {
-    r = wire::decode_report(std::move(body));
+    r = wire::decode_heartbeat(std::move(body));
   } catch (const wire::BadMessage& e) {
     log::error("malformed report: {}", e.what());
     respond(failure(400, e.what()));
@@ -290,7 +290,7 @@
     return;
   }
   fleet_->hold_starts(may_miss_cancellations());
-  respond(fleet_->report(r));
+  respond(fleet_->on_heartbeat(r));
 }
 
 void Node::handle(HttpRequest request, const std::function<void(HttpResponse)>& respond) {
@@ -301,8 +301,8 @@
     respond(failure(405, "wrong method"));
     return false;
   };
-  if (path == wire::kReportPath) {
-    if (need("POST")) report(std::move(request.body), respond);
+  if (path == wire::kHeartbeatPath) {
+    if (need("POST")) on_heartbeat(std::move(request.body), respond);
   } else if (path == wire::kReadyPath) {
     if (need("GET")) respond(ready());
   } else if (path == wire::kRunsPath) {
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -44,7 +44,7 @@
   void check_leadership();
   void check_leader_silence();
   HttpResponse ready() const;
-  void report(std::string body, const std::function<void(HttpResponse)>& respond);
+  void on_heartbeat(std::string body, const std::function<void(HttpResponse)>& respond);
 
   Runtime& runtime_;
   Settings settings_;
@@ -60,7 +60,7 @@
   RecentCancellations cancellations_;
   std::string hinted_leader_;
   std::uint64_t hinted_token_ = 0;
-  TimePoint report_heard_{};
+  TimePoint last_heartbeat_{};
   bool types_fresh_ = false;
   bool counts_cut_told_ = false;
 };
--- a/src/node/sibling_table.cpp
+++ b/src/node/sibling_table.cpp
@@ -18,38 +18,38 @@
   if (it == all_.end()) return false;
   Status& status = it->second;
   const auto at = [now](std::uint32_t age_ms) { return now - milliseconds(age_ms); };
-  status.heard = now;
+  status.last_seen = now;
   status.sees_store = hint.sees_store;
-  if (hint.store_age_ms != wire::kUnknownAge) status.store_answered = at(hint.store_age_ms);
-  if (hint.report_age_ms != wire::kUnknownAge) status.report_heard = at(hint.report_age_ms);
+  if (hint.store_age_ms != wire::kUnknownAge) status.store_last_answer = at(hint.store_age_ms);
+  if (hint.heartbeat_age_ms != wire::kUnknownAge) status.last_heartbeat = at(hint.heartbeat_age_ms);
   if (!hint.leader.empty() && hint.leader_age_ms != wire::kUnknownAge) {
     status.leader = hint.leader;
-    status.leader_heard = at(hint.leader_age_ms);
+    status.leader_last_seen = at(hint.leader_age_ms);
   }
   return true;
 }
 
 bool SiblingTable::recent(const Status& status, TimePoint now) {
-  return status.heard != TimePoint{} && now - status.heard <= kRecent;
+  return status.last_seen != TimePoint{} && now - status.last_seen <= kRecent;
 }
 
-TimePoint SiblingTable::last_heard(const std::string& node) const {
+TimePoint SiblingTable::last_seen(const std::string& node) const {
   const auto it = all_.find(node);
-  return it == all_.end() || it->second.heard == TimePoint{} ? started_ : it->second.heard;
+  return it == all_.end() || it->second.last_seen == TimePoint{} ? started_ : it->second.last_seen;
 }
 
 bool SiblingTable::fallen_silent(const std::string& node, TimePoint now) const {
   const auto it = all_.find(node);
-  return it != all_.end() && it->second.heard != TimePoint{} && !recent(it->second, now);
+  return it != all_.end() && it->second.last_seen != TimePoint{} && !recent(it->second, now);
 }
 
 bool SiblingTable::majority_misses(const std::string& leader, Duration silence,
                                    TimePoint now) const {
-  if (all_.count(leader) == 0 || now - last_heard(leader) <= silence) return false;
+  if (all_.count(leader) == 0 || now - last_seen(leader) <= silence) return false;
   std::size_t missing = 1;
   for (const auto& [node, status] : all_) {
     if (node == leader || !recent(status, now) || status.leader != leader) continue;
-    if (now - status.leader_heard > silence) ++missing;
+    if (now - status.leader_last_seen > silence) ++missing;
   }
   const std::size_t nodes = all_.size() + 1;
   return missing > nodes / 2;
--- a/src/node/sibling_table.hpp
+++ b/src/node/sibling_table.hpp
@@ -15,12 +15,12 @@
 class SiblingTable {
  public:
   struct Status {
-    TimePoint heard{};  // its last message
+    TimePoint last_seen{};  // its last message
     bool sees_store = false;
-    TimePoint store_answered{};  // when the state service last answered it
-    TimePoint report_heard{};    // when a worker's report last reached it
-    std::string leader;          // whom it follows
-    TimePoint leader_heard{};    // when it last heard from that leader
+    TimePoint store_last_answer{};  // when the state service last answered it
+    TimePoint last_heartbeat{};     // when a worker's heartbeat last reached it
+    std::string leader;             // whom it follows
+    TimePoint leader_last_seen{};   // when it last heard from that leader
   };
 
   SiblingTable(const std::vector<Sibling>& siblings, TimePoint started);
@@ -32,7 +32,7 @@
   // Whether its last message is recent enough to rely on.
   static bool recent(const Status& status, TimePoint now);
   // When the node was last heard from; of one that never was, when this process started.
-  TimePoint last_heard(const std::string& node) const;
+  TimePoint last_seen(const std::string& node) const;
   // Whether it has been heard from, but not recently.
   bool fallen_silent(const std::string& node, TimePoint now) const;
   // Whether a majority of all nodes, this one included, follows the leader and has not heard from
--- a/src/store/link.cpp
+++ b/src/store/link.cpp
@@ -54,7 +54,7 @@
   return failing_since_ != TimePoint{} && now() - failing_since_ > kDownAfter;
 }
 
-bool Link::heard_lately(Duration within) const {
+bool Link::answered_within(Duration within) const {
   return last_answer_ != TimePoint{} && now() - last_answer_ < within;
 }
 
--- a/src/store/link.hpp
+++ b/src/store/link.hpp
@@ -29,7 +29,7 @@
   // Since when requests have failed, with none served in between; the epoch if they have not.
   TimePoint failing_since() const { return failing_since_; }
   TimePoint last_answer() const { return last_answer_; }
-  bool heard_lately(Duration within) const;
+  bool answered_within(Duration within) const;
 
   Runtime& runtime() { return runtime_; }
   TimePoint now() const { return runtime_.now(); }
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -41,7 +41,7 @@
   TimePoint failing_since() const { return link_.failing_since(); }
   TimePoint last_answer() const { return link_.last_answer(); }
   // Whether a request was answered within the last moments.
-  bool heard_lately(Duration within) const { return link_.heard_lately(within); }
+  bool answered_within(Duration within) const { return link_.answered_within(within); }
 
  private:
   Link link_;
--- a/src/wire/command_writer.cpp
+++ b/src/wire/command_writer.cpp
@@ -1,4 +1,4 @@
-// Writes the commands to workers, in answers to reports and in direct requests.
+// Writes the commands to workers, in answers to heartbeats and in direct requests.
 
 #include <fmt/format.h>
 #include <rapidjson/stringbuffer.h>
@@ -82,15 +82,15 @@
   return text_of(buffer);
 }
 
-std::string encode_direct(std::uint64_t token, std::uint64_t session,
+std::string encode_direct(std::uint64_t token, std::uint64_t epoch,
                           const std::vector<Command>& commands) {
   rapidjson::StringBuffer buffer;
   Writer writer(buffer);
   writer.StartObject();
   writer.Key(name::kToken);
   writer.Uint64(token);
-  writer.Key(name::kSession);
-  writer.Uint64(session);
+  writer.Key(name::kEpoch);
+  writer.Uint64(epoch);
   write_commands(writer, commands, kLongestAnswer);
   writer.EndObject();
   return text_of(buffer);
--- a/src/wire/report_reader.cpp
+++ b/src/wire/heartbeat_decoder.cpp
@@ -1,4 +1,4 @@
-// Reads workers' reports. They are by far the most of what a leader reads, so they are parsed in
+// Reads workers' heartbeats. They are by far the most of what a leader reads, so they are parsed in
 // place and by events, straight into the typed message.
 
 #include <rapidjson/error/en.h>
@@ -47,7 +47,7 @@
   return ExitCause::None;
 }
 
-// The fields of a report and of a task in it that are read; all others are ignored. Those before
+// The fields of a heartbeat and of a task in it that are read; all others are ignored. Those before
 // `Notice`, and those from `Task` to `State`, are required.
 enum class Field : unsigned {
   Machine,
@@ -69,7 +69,7 @@
 };
 
 constexpr unsigned bit(Field field) { return 1U << static_cast<unsigned>(field); }
-constexpr unsigned kRequiredOfReport = bit(Field::Notice) - 1;
+constexpr unsigned kRequiredHeartbeatFields = bit(Field::Notice) - 1;
 constexpr unsigned kRequiredOfTask = bit(Field::Task) | bit(Field::Attempt) | bit(Field::State);
 
 struct NamedField {
@@ -77,11 +77,11 @@
   Field field;
 };
 
-constexpr NamedField kReportFields[] = {
+constexpr NamedField kHeartbeatFields[] = {
     {name::kMachine, Field::Machine}, {name::kAddress, Field::Address},
     {name::kType, Field::Type},       {name::kZone, Field::Zone},
-    {name::kSpot, Field::Spot},       {name::kSession, Field::Session},
-    {name::kSeq, Field::Seq},         {name::kToken, Field::Token},
+    {name::kSpot, Field::Spot},       {name::kEpoch, Field::Session},
+    {name::kSequence, Field::Seq},    {name::kToken, Field::Token},
     {name::kTasks, Field::Tasks},     {name::kNotice, Field::Notice}};
 
 constexpr NamedField kTaskFields[] = {{name::kTask, Field::Task},
@@ -100,7 +100,7 @@
 
 // Takes the parser's events. Its public functions have the names that RapidJSON calls; false ends
 // the parsing.
-class ReportReader {
+class HeartbeatDecoder {
  public:
   // NOLINTBEGIN(readability-identifier-naming)
   bool Null() { return value(); }
@@ -116,8 +116,8 @@
     return field_ == Field::Unknown ? value() : fail("a number is negative");
   }
   bool Uint64(std::uint64_t v) {
-    if (reads(Field::Session)) set(report_.session, v);
-    if (reads(Field::Seq)) set(report_.seq, v);
+    if (reads(Field::Session)) set(report_.epoch, v);
+    if (reads(Field::Seq)) set(report_.sequence, v);
     if (reads(Field::Token)) set(report_.token, v);
     if (reads(Field::Attempt)) set(task_.attempt, v);
     if (reads(Field::Notice)) report_.notice = Seconds(static_cast<double>(v));
@@ -147,7 +147,7 @@
       place_ = Place::Report;
     } else if (skipped_ == 0 && place_ == Place::Tasks) {
       place_ = Place::Task;
-      task_ = TaskReport{};
+      task_ = TaskStatus{};
       seen_of_task_ = 0;
     } else {
       ++skipped_;
@@ -162,7 +162,7 @@
     } else if (place_ == Place::Task) {
       field_ = field_named(name, kTaskFields);
     } else {
-      field_ = field_named(name, kReportFields);
+      field_ = field_named(name, kHeartbeatFields);
     }
     return true;
   }
@@ -180,7 +180,7 @@
   bool StartArray() {
     if (place_ == Place::Outside) return fail("not an object");
     if (reads(Field::Tasks)) {
-      seen_of_report_ |= bit(Field::Tasks);
+      seen_heartbeat_fields_ |= bit(Field::Tasks);
       place_ = Place::Tasks;
     } else {
       ++skipped_;
@@ -199,10 +199,11 @@
   // NOLINTEND(readability-identifier-naming)
 
   bool complete() const {
-    return ended_ && (seen_of_report_ & kRequiredOfReport) == kRequiredOfReport;
+    return ended_ &&
+           (seen_heartbeat_fields_ & kRequiredHeartbeatFields) == kRequiredHeartbeatFields;
   }
   const std::string& trouble() const { return trouble_; }
-  WorkerReport take() { return std::move(report_); }
+  Heartbeat take() { return std::move(report_); }
 
  private:
   enum class Place { Outside, Report, Tasks, Task };
@@ -212,7 +213,7 @@
   template <typename T, typename V>
   void set(T& to, V&& v) {
     to = std::forward<V>(v);
-    (place_ == Place::Task ? seen_of_task_ : seen_of_report_) |= bit(field_);
+    (place_ == Place::Task ? seen_of_task_ : seen_heartbeat_fields_) |= bit(field_);
   }
   // Any value that is neither an object nor an array.
   bool value() {
@@ -236,25 +237,25 @@
     return false;
   }
 
-  WorkerReport report_;
-  TaskReport task_;
+  Heartbeat report_;
+  TaskStatus task_;
   Field field_ = Field::Unknown;  // whose value comes next
   Place place_ = Place::Outside;
   std::size_t skipped_ = 0;  // depth within values that are ignored
-  unsigned seen_of_report_ = 0, seen_of_task_ = 0;
+  unsigned seen_heartbeat_fields_ = 0, seen_of_task_ = 0;
   bool ended_ = false;
   std::string trouble_;
 };
 
 }  // namespace
 
-WorkerReport decode_report(std::string body) {
+Heartbeat decode_heartbeat(std::string body) {
   // The parser takes a zero byte for the end.
   if (body.find('\0') != std::string::npos) throw BadMessage("not JSON");
   // Iterative: nesting takes memory in proportion to the body, which is bounded, and no stack.
   constexpr unsigned kFlags = rapidjson::kParseInsituFlag | rapidjson::kParseIterativeFlag |
                               rapidjson::kParseValidateEncodingFlag;
-  ReportReader reader;
+  HeartbeatDecoder reader;
   rapidjson::InsituStringStream stream(body.data());
   rapidjson::Reader parser;
   const auto result = parser.Parse<kFlags>(stream, reader);
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -14,9 +14,10 @@
 }  // namespace
 
 std::string encode_hint(const PeerHint& hint) {
-  Packed packed{kVersion,        hint.node,          hint.leader,       hint.token,
-                hint.sees_store, hint.store_age_ms,  hint.resigned,     {},
-                hint.cancelled,  hint.report_age_ms, hint.leader_age_ms};
+  Packed packed{
+      kVersion,          hint.node,     hint.leader, hint.token,     hint.sees_store,
+      hint.store_age_ms, hint.resigned, {},          hint.cancelled, hint.heartbeat_age_ms,
+      hint.leader_age_ms};
   auto& counts = std::get<7>(packed);
   counts.reserve(hint.counts.size());
   for (const auto& c : hint.counts) counts.emplace_back(c.job, c.done, c.running);
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -25,12 +25,12 @@
   std::string leader;  // empty: unknown
   std::uint64_t token = 0;
   bool sees_store = false;
-  std::uint32_t store_age_ms = kUnknownAge;   // since the state service last answered it
-  std::uint64_t resigned = 0;                 // a token of its own that it has given up
-  std::vector<PeerCounts> counts;             // only the leader's
-  std::vector<std::string> cancelled;         // jobs whose cancellation it has confirmed lately
-  std::uint32_t report_age_ms = kUnknownAge;  // since a worker's report last reached it
-  std::uint32_t leader_age_ms = kUnknownAge;  // since it last heard from `leader`, another node
+  std::uint32_t store_age_ms = kUnknownAge;      // since the state service last answered it
+  std::uint64_t resigned = 0;                    // a token of its own that it has given up
+  std::vector<PeerCounts> counts;                // only the leader's
+  std::vector<std::string> cancelled;            // jobs whose cancellation it has confirmed lately
+  std::uint32_t heartbeat_age_ms = kUnknownAge;  // since a worker's heartbeat last reached it
+  std::uint32_t leader_age_ms = kUnknownAge;     // since it last heard from `leader`, another node
 };
 
 std::string encode_hint(const PeerHint& hint);
--- a/src/wire/user.hpp
+++ b/src/wire/user.hpp
@@ -14,7 +14,7 @@
 inline constexpr std::string_view kRunsPath = "/v2/runs";
 inline constexpr std::string_view kAbortSuffix = "/abort";
 inline constexpr std::string_view kReadyPath = "/ready";
-inline constexpr std::string_view kReportPath = "/v1/report";
+inline constexpr std::string_view kHeartbeatPath = "/v1/report";
 
 bool valid_job_id(std::string_view id);
 JobSpec decode_job(const Json& body);     // throws BadMessage naming the field
--- a/src/wire/worker.hpp
+++ b/src/wire/worker.hpp
@@ -14,10 +14,10 @@
 inline constexpr std::size_t kLongestAnswer = std::size_t{60} * 1024;
 
 // Parses the body in place; throws BadMessage.
-WorkerReport decode_report(std::string body);
+Heartbeat decode_heartbeat(std::string body);
 // Commands that would make the answer too long are left out, from the end.
 std::string encode_commands(std::uint64_t token, const std::vector<Command>& commands);
-std::string encode_direct(std::uint64_t token, std::uint64_t session,
+std::string encode_direct(std::uint64_t token, std::uint64_t epoch,
                           const std::vector<Command>& commands);
 std::string encode_not_leader(const std::string& leader);  // empty: unknown
 
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -32,7 +32,7 @@
   const auto cost = [](std::size_t tasks) {
     auto body = report_of(tasks);
     const auto before = allocations();
-    const auto report = wire::decode_report(std::move(body));
+    const auto report = wire::decode_heartbeat(std::move(body));
     EXPECT_EQ(report.tasks.size(), tasks);
     return allocations().since(before).count;
   };
--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -191,7 +191,7 @@
 
 TEST(Reports, AreReadAndAnswered) {
   const auto r =
-      wire::decode_report(R"({"host":"n-1","endpoint":"10.1.0.1:9000","flavor":"g8","yard":"a",
+      wire::decode_heartbeat(R"({"host":"n-1","endpoint":"10.1.0.1:9000","flavor":"g8","yard":"a",
     "loaner":true,"tenure":1,"tick":88,"baton":41,"warningS":7.5,"pieces":[
     {"piece":"req-000412/3","try":2,"stage":"running"},
     {"piece":"req-000398/0","try":1,"stage":"exited","cause":"halted","stored":true}]})");
@@ -200,7 +200,7 @@
   EXPECT_EQ(r.tasks[1].cause, ExitCause::Stopped);
   EXPECT_TRUE(r.tasks[1].saved);
   EXPECT_EQ(r.notice, Seconds(7.5));
-  EXPECT_THROW(wire::decode_report("{}"), wire::BadMessage);
+  EXPECT_THROW(wire::decode_heartbeat("{}"), wire::BadMessage);
   const auto out =
       wire::parse(wire::encode_commands(41, {{Command::Op::Stop, {"req-1", 2}, 7, Seconds(10)},
                                              {Command::Op::Acknowledge, {"req-1", 3}, 8}}));
@@ -242,7 +242,7 @@
   EXPECT_EQ(back->leader, "ghat-2");
   EXPECT_EQ(back->token, 77U);
   EXPECT_EQ(back->store_age_ms, 250U);
-  EXPECT_EQ(back->report_age_ms, 125U);
+  EXPECT_EQ(back->heartbeat_age_ms, 125U);
   EXPECT_EQ(back->resigned, 66U);
   ASSERT_EQ(back->counts.size(), 1U);
   EXPECT_EQ(back->counts[0].running, 4U);
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -211,13 +211,13 @@
   EXPECT_EQ(wire::kRunsPath, "/v2/runs");
   EXPECT_EQ(wire::kAbortSuffix, "/abort");
   EXPECT_EQ(wire::kReadyPath, "/ready");
-  EXPECT_EQ(wire::kReportPath, "/v1/report");
+  EXPECT_EQ(wire::kHeartbeatPath, "/v1/report");
 }
 
 // ---- Workers ----
 
 TEST(WorkerMessages, ReportsAreRead) {
-  const auto report = wire::decode_report(
+  const auto report = wire::decode_heartbeat(
       R"({"host":"n-000231","endpoint":"10.1.0.232:9000","flavor":"g8","yard":"a","loaner":true,)"
       R"("tenure":1,"tick":88,"baton":41,"warningS":12.5,"pieces":[)"
       R"({"piece":"req-000412/3","try":2,"stage":"pulling"},)"
@@ -237,8 +237,8 @@
   EXPECT_EQ(report.type, "g8");
   EXPECT_EQ(report.zone, "a");
   EXPECT_TRUE(report.spot);
-  EXPECT_EQ(report.session, 1U);
-  EXPECT_EQ(report.seq, 88U);
+  EXPECT_EQ(report.epoch, 1U);
+  EXPECT_EQ(report.sequence, 88U);
   EXPECT_EQ(report.token, 41U);
   EXPECT_EQ(report.notice, Seconds(12.5));
   const TaskState states[] = {TaskState::Fetching, TaskState::Waiting, TaskState::Running,
@@ -385,7 +385,7 @@
   EXPECT_EQ(hint->counts[0].done, 3U);
   EXPECT_EQ(hint->counts[0].running, 13U);
   EXPECT_EQ(hint->cancelled, std::vector<std::string>{"req-000377"});
-  EXPECT_EQ(hint->report_age_ms, 1000U);
+  EXPECT_EQ(hint->heartbeat_age_ms, 1000U);
   EXPECT_EQ(hint->leader_age_ms, 70000U);
   EXPECT_EQ(hex(wire::encode_hint(*hint)), literal);
 }
@@ -459,7 +459,7 @@
   EXPECT_EQ(s.objectives[0].job_class, "train");
   EXPECT_EQ(s.objectives[0].within, Seconds(150));
   EXPECT_EQ(s.objectives[0].share, 0.94);
-  EXPECT_EQ(s.report_every, 2s);
+  EXPECT_EQ(s.heartbeat_interval, 2s);
   EXPECT_EQ(s.lease, 10s);
   EXPECT_EQ(s.gang_wait, 60s);
   EXPECT_EQ(s.gang_peer, 5s);
--- a/tests/report_reader_test.cpp
+++ b/tests/heartbeat_decoder_test.cpp
@@ -1,5 +1,5 @@
-// Reading workers' reports: what is refused, and that the reader by events and a tree of the same
-// message never disagree.
+// Reading workers' heartbeats: what is refused, and that the reader by events and a tree of the
+// same message never disagree.
 
 #include <gtest/gtest.h>
 
@@ -14,14 +14,14 @@
 using namespace asterstair;
 using Json = nlohmann::json;
 
-const char* const kReport =
+const char* const kHeartbeat =
     R"({"host":"n-1","endpoint":"10.1.0.1:9000","flavor":"g8","yard":"a","loaner":true,"tenure":1,)"
     R"("tick":88,"baton":41,"warningS":7.5,"pieces":[{"piece":"req-000412/3","try":2,)"
     R"("stage":"running"},{"piece":"req-000398/0","try":1,"stage":"exited","cause":"halted",)"
     R"("stored":true}],"extra":{"a":[1,-2,{"piece":"x"}],"host":"other"}})";
 
 // The same message read from a tree, field by field; none if it must be refused.
-std::optional<WorkerReport> read_from_tree(const std::string& text) {
+std::optional<Heartbeat> read_from_tree(const std::string& text) {
   const auto in = Json::parse(text, nullptr, false);
   if (!in.is_object()) return std::nullopt;
   for (const char* key : {"host", "endpoint", "flavor", "yard"}) {
@@ -32,14 +32,14 @@
   }
   if (!in.contains("loaner") || !in["loaner"].is_boolean()) return std::nullopt;
   if (!in.contains("pieces") || !in["pieces"].is_array()) return std::nullopt;
-  WorkerReport out;
+  Heartbeat out;
   out.machine = in["host"];
   out.address = in["endpoint"];
   out.type = in["flavor"];
   out.zone = in["yard"];
   out.spot = in["loaner"];
-  out.session = in["tenure"];
-  out.seq = in["tick"];
+  out.epoch = in["tenure"];
+  out.sequence = in["tick"];
   out.token = in["baton"];
   if (in.contains("warningS") && in["warningS"].is_number()) {
     if (in["warningS"] < 0) return std::nullopt;
@@ -55,7 +55,7 @@
     const auto number = name.substr(slash + 1);
     if (number.empty() || number.size() > 9) return std::nullopt;
     if (number.find_first_not_of("0123456789") != std::string::npos) return std::nullopt;
-    TaskReport task;
+    TaskStatus task;
     task.task = {name.substr(0, slash), static_cast<std::uint32_t>(std::stoul(number))};
     task.attempt = t["try"];
     const std::map<std::string, TaskState> states{{"pulling", TaskState::Fetching},
@@ -70,35 +70,35 @@
   return out;
 }
 
-std::optional<WorkerReport> read(const std::string& text) {
+std::optional<Heartbeat> read(const std::string& text) {
   try {
-    return wire::decode_report(text);
+    return wire::decode_heartbeat(text);
   } catch (const wire::BadMessage&) {
     return std::nullopt;
   }
 }
 
-bool same(const WorkerReport& a, const WorkerReport& b) {
-  const auto fields = [](const WorkerReport& r) {
-    return std::tie(r.machine, r.address, r.type, r.zone, r.spot, r.session, r.seq, r.token,
+bool same(const Heartbeat& a, const Heartbeat& b) {
+  const auto fields = [](const Heartbeat& r) {
+    return std::tie(r.machine, r.address, r.type, r.zone, r.spot, r.epoch, r.sequence, r.token,
                     r.notice);
   };
   return fields(a) == fields(b) &&
          std::equal(a.tasks.begin(), a.tasks.end(), b.tasks.begin(), b.tasks.end(),
-                    [](const TaskReport& x, const TaskReport& y) {
+                    [](const TaskStatus& x, const TaskStatus& y) {
                       return x.task == y.task && x.attempt == y.attempt && x.state == y.state;
                     });
 }
 
-TEST(ReportReader, ReadsEveryFieldAndIgnoresUnknownOnes) {
-  const auto r = wire::decode_report(kReport);
+TEST(HeartbeatDecoder, ReadsEveryFieldAndIgnoresUnknownOnes) {
+  const auto r = wire::decode_heartbeat(kHeartbeat);
   EXPECT_EQ(r.machine, "n-1");
   EXPECT_EQ(r.address, "10.1.0.1:9000");
   EXPECT_EQ(r.type, "g8");
   EXPECT_EQ(r.zone, "a");
   EXPECT_TRUE(r.spot);
-  EXPECT_EQ(r.session, 1U);
-  EXPECT_EQ(r.seq, 88U);
+  EXPECT_EQ(r.epoch, 1U);
+  EXPECT_EQ(r.sequence, 88U);
   EXPECT_EQ(r.token, 41U);
   EXPECT_EQ(r.notice, Seconds(7.5));
   ASSERT_EQ(r.tasks.size(), 2U);
@@ -108,10 +108,10 @@
   EXPECT_TRUE(r.tasks[1].saved);
 }
 
-TEST(ReportReader, RefusesReportsThatLackAField) {
-  const auto good = Json::parse(kReport);
+TEST(HeartbeatDecoder, RefusesReportsThatLackAField) {
+  const auto good = Json::parse(kHeartbeat);
   ASSERT_TRUE(read(good.dump()));
-  // Without its tasks a report would say that the machine is empty.
+  // Without its tasks a heartbeat would say that the machine is empty.
   for (const char* key :
        {"host", "endpoint", "flavor", "yard", "loaner", "tenure", "tick", "baton", "pieces"}) {
     auto bad = good;
@@ -134,8 +134,8 @@
   EXPECT_TRUE(read(without_notice.dump()));
 }
 
-TEST(ReportReader, RefusesWhatIsNotOneJsonObject) {
-  const std::string good = kReport;
+TEST(HeartbeatDecoder, RefusesWhatIsNotOneJsonObject) {
+  const std::string good = kHeartbeat;
   EXPECT_FALSE(read(""));
   EXPECT_FALSE(read("[" + good + "]"));
   EXPECT_FALSE(read(good + good));
@@ -146,7 +146,7 @@
 }
 
 // Within the largest body that the server takes. The depth costs no stack.
-TEST(ReportReader, RefusesDeepNestingAndHugeNumbers) {
+TEST(HeartbeatDecoder, RefusesDeepNestingAndHugeNumbers) {
   const std::size_t largest = std::size_t{64} * 1024;
   std::string deep = R"({"extra":)";
   deep.append(largest - deep.size(), '[');
@@ -155,9 +155,9 @@
   while (objects.size() < largest) objects += R"({"a":)";
   EXPECT_FALSE(read(objects));
   auto closed = R"({"extra":)" + std::string(20000, '[') + std::string(20000, ']') + "," +
-                std::string(kReport).substr(1);
+                std::string(kHeartbeat).substr(1);
   EXPECT_TRUE(read(closed)) << "an unknown field, however deep";
-  auto good = Json::parse(kReport).dump();
+  auto good = Json::parse(kHeartbeat).dump();
   const auto at = good.find("88");
   EXPECT_FALSE(read(good.replace(at, 2, std::string(400, '9'))));
   EXPECT_FALSE(read(good.replace(at, 400, "1e999")));
@@ -206,11 +206,11 @@
   return false;
 }
 
-TEST(ReportReader, AgreesWithATreeOnMutatedMessages) {
+TEST(HeartbeatDecoder, AgreesWithATreeOnMutatedMessages) {
   std::mt19937_64 rng(20261202);
   std::size_t refused = 0, read_alike = 0;
   for (int i = 0; i < 40000; ++i) {
-    const auto text = mutated(kReport, rng);
+    const auto text = mutated(kHeartbeat, rng);
     if (names_a_field_twice(text)) continue;
     const auto expected = read_from_tree(text);
     const auto actual = read(text);
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -19,7 +19,7 @@
   s.world.deafen(other, one, on);
 }
 
-// Reports, answers, both ways or one: between the machine and every node.
+// Heartbeats, answers, both ways or one: between the machine and every node.
 void part(Scenario& s, const std::string& machine, bool to_nodes, bool from_nodes, bool on) {
   for (int i = 0; i < s.count(); ++i) {
     if (to_nodes) s.world.deafen(machine, s.name(i), on);
@@ -153,8 +153,8 @@
   EXPECT_TRUE(s.checker.broken.empty()) << s.checker.text();
 }
 
-// Leaders that follow one another before the workers report twice to any of them: each first answer
-// renews the leases once. Guard: Fleet::stops_for_ended.
+// Leaders that follow one another before the workers heartbeat twice to any of them: each first
+// answer renews the leases once. Guard: Fleet::stops_for_ended.
 TEST(Leaders, FirstAnswersStopTasksOfEndedJobs) {
   Scenario s(44, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
   const auto id = s.submit(array(2, 400));
@@ -214,7 +214,7 @@
 }
 
 // Hangs for less than a lease: the command waits there and is carried out as it goes on, before the
-// task has run for as long as a report takes.
+// task has run for as long as a heartbeat takes.
 TEST(Cancellations, WaitForAMachineThatHangs) {
   Scenario s(47);
   const auto id = s.submit(array(4, 400));
@@ -301,8 +301,9 @@
   EXPECT_TRUE(s.checker.broken.empty()) << s.checker.text();
 }
 
-// A machine has answered the new leader, under the old token; its next report is held back until
-// its lease has run out and its work has begun elsewhere. Guard: first_session in expire_leases.
+// A machine has answered the new leader, under the old token; its next heartbeat is held back until
+// its lease has run out and its work has begun elsewhere. Guard: first_valid_epoch in
+// expire_leases.
 TEST(LateReports, OfASessionThatRanOutBeforeTheLeaderHadReadAnyBringBackNothing) {
   Scenario s(51);
   const auto id = s.submit(array(1, 120));
@@ -345,20 +346,20 @@
   EXPECT_TRUE(s.checker.broken.empty()) << s.checker.text();
 }
 
-// Machines have lost a lease and work in their second session when the leader ends; answers do not
-// reach one of them. A late copy from its first session is what the next leader hears of it first:
-// the second session is no news of the term, and holds what the earlier leader started. Guard:
-// Fleet::report draws nothing from sessions whose begin it has not seen.
+// Machines have lost a lease and work in their second epoch when the leader ends; answers do not
+// reach one of them. A late copy from its first epoch is what the next leader hears of it first:
+// the second epoch is no news of the term, and holds what the earlier leader started. Guard:
+// Fleet::report draws nothing from epochs whose begin it has not seen.
 TEST(LateReports, OfAnEarlierSessionDoNotShowThatALaterOneIsEmpty) {
   for (const std::uint64_t seed : {67, 68, 69}) {
     Scenario s(seed, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
     const auto id = s.submit(array(13, 300));  // three machines, and one with room
     s.world.run_until(40);
     ASSERT_EQ(s.checker.on(id), 13U);
-    std::map<std::string, std::map<int, std::string>> last_report;  // by machine and session
+    std::map<std::string, std::map<int, std::string>> last_heartbeat;  // by machine and epoch
     s.world.drop = [&](const std::string& from, const std::string&, const HttpRequest& request) {
       if (request.target == "/v1/report") {
-        last_report[from][Json::parse(request.body)["tenure"]] = request.body;
+        last_heartbeat[from][Json::parse(request.body)["tenure"]] = request.body;
       }
       return false;
     };
@@ -370,18 +371,18 @@
     ASSERT_EQ(s.checker.on(id), 13U);
     std::string unreachable;
     for (const auto& m : s.cloud.running()) {
-      if (m->session() == 2 && m->free().cpus < 1) unreachable = m->id;
+      if (m->epoch() == 2 && m->free().cpus < 1) unreachable = m->id;
     }
     ASSERT_FALSE(unreachable.empty());
     part(s, unreachable, false, true, true);
     const int old = s.leader();
     ASSERT_GE(old, 0);
-    const auto reports = last_report[unreachable];
+    const auto reports = last_heartbeat[unreachable];
     s.crash(old, 30);
     while (s.leader() < 0) s.world.run_until(s.world.t() + 0.1);
     s.world.run_until(s.world.t() + 1);
-    for (const int session : {1, 2}) {
-      s.world.http("copies", s.address(s.leader()), {"POST", "/v1/report", reports.at(session)}, 4s,
+    for (const int epoch : {1, 2}) {
+      s.world.http("copies", s.address(s.leader()), {"POST", "/v1/report", reports.at(epoch)}, 4s,
                    [](const HttpResponse&) {});
       s.world.run_until(s.world.t() + 0.1);
     }
@@ -429,7 +430,7 @@
     ASSERT_GE(old, 0);
     std::map<std::string, std::uint32_t> sessions;
     for (const auto& m : s.cloud.running()) {
-      if (m->free().cpus < m->shape.cpus) sessions[m->id] = m->session();
+      if (m->free().cpus < m->shape.cpus) sessions[m->id] = m->epoch();
     }
     s.freeze(old, 20);
     s.world.run_until(48);
@@ -438,7 +439,7 @@
     for (const auto& m : s.cloud.running()) {
       const auto busy = sessions.find(m->id);
       if (busy == sessions.end()) continue;
-      EXPECT_EQ(m->session(), busy->second) << m->id << ": its lease has run out, seed " << seed;
+      EXPECT_EQ(m->epoch(), busy->second) << m->id << ": its lease has run out, seed " << seed;
     }
     s.world.run_until(500);
     EXPECT_TRUE(s.checker.broken.empty()) << "seed " << seed << "\n" << s.checker.text();
@@ -556,7 +557,7 @@
   s.crash(next, 0.2);
   s.world.run_until(81);
   const auto id = s.submit(array(1, 5, "red"));
-  // A lease, the machine's next report and its image; with a grant, 20 s more.
+  // A lease, the machine's next heartbeat and its image; with a grant, 20 s more.
   s.world.run_until(81 + 10 + 8);
   EXPECT_TRUE(s.checker.began(id));
   s.world.heal(machines.front()->id);
@@ -595,7 +596,8 @@
   s.crash(s.leader(), 0.2);
   s.world.run_until(42);
   const auto id = s.submit(array(1, 5, "red"));
-  // A lease, a round of the three nodes until the next report comes here, a boot, the job itself.
+  // A lease, a round of the three nodes until the next heartbeat comes here, a boot, the job
+  // itself.
   s.world.run_until(42 + 20 + 15 + 13 + 8 + 5);
   EXPECT_EQ(s.checker.final_of(id), "done");
   EXPECT_TRUE(s.checker.broken.empty()) << s.checker.text();
@@ -797,7 +799,7 @@
   s.world.http("copies", m->address,
                {"POST", "/orders",
                 Json{{"baton", std::uint64_t{1} << 40U},
-                     {"tenure", m->session()},
+                     {"tenure", m->epoch()},
                      {"orders", {{{"verb", "run"}, {"piece", id + "/0"}, {"try", 99}}}}}
                     .dump()},
                4s, [](const HttpResponse&) {});
--- a/tests/sim/fleet.hpp
+++ b/tests/sim/fleet.hpp
@@ -115,7 +115,7 @@
   Shape shape;
   bool spot, ended = false, sick = false;
   double drift = 1.0;  // its steady clock's speed
-  std::uint32_t session() const { return session_; }
+  std::uint32_t epoch() const { return epoch_; }
 
  private:
   using Key = std::pair<std::string, std::pair<std::uint32_t, std::uint64_t>>;
@@ -175,7 +175,7 @@
       list.push_back(j);
     }
     Json out = {{"host", id},     {"endpoint", address}, {"flavor", shape.type},
-                {"yard", zone},   {"loaner", spot},      {"tenure", session_},
+                {"yard", zone},   {"loaner", spot},      {"tenure", epoch_},
                 {"tick", ++seq_}, {"baton", token_},     {"pieces", list}};
     out["warningS"] = goes_at_ > 0 ? Json(std::max(0.0, goes_at_ - world_.t())) : Json(nullptr);
     return out;
@@ -185,25 +185,25 @@
     in_flight_ = true;
     last_sent_ = world_.t();
     const auto sent = world_.now();
-    const auto session = session_;
+    const auto epoch = epoch_;
     world_.http(id, nodes_[node_], {"POST", "/v1/report", body().dump()}, kPatience,
-                [w = weak_from_this(), sent, session](const HttpResponse& r) {
+                [w = weak_from_this(), sent, epoch](const HttpResponse& r) {
                   const auto s = w.lock();
                   if (!s || s->ended) return;
-                  s->when_awake([sent, session, r](Worker& self) {
+                  s->when_awake([sent, epoch, r](Worker& self) {
                     self.in_flight_ = false;
                     const bool late = self.world_.now() - sent > kPatience;
-                    self.answered(late ? HttpResponse{} : r, sent, session);
+                    self.answered(late ? HttpResponse{} : r, sent, epoch);
                   });
                 });
   }
 
-  void answered(const HttpResponse& r, TimePoint sent, std::uint32_t session) {
+  void answered(const HttpResponse& r, TimePoint sent, std::uint32_t epoch) {
     if (r.status == 200) {
       const auto in = Json::parse(r.body, nullptr, false);
       if (in.is_discarded() || !in.contains("baton")) return;
       const auto token = in["baton"].get<std::uint64_t>();
-      if (token < token_ || session != session_) return;
+      if (token < token_ || epoch != epoch_) return;
       if (token > token_) {
         token_ = token;
         changed();
@@ -239,8 +239,7 @@
       respond({400, "{}"});
       return;
     }
-    if (in["baton"].get<std::uint64_t>() < token_ ||
-        in["tenure"].get<std::uint32_t>() != session_) {
+    if (in["baton"].get<std::uint64_t>() < token_ || in["tenure"].get<std::uint32_t>() != epoch_) {
       respond({409, body().dump()});
       return;
     }
@@ -456,7 +455,7 @@
     if (seconds(world_.now() - since) * drift <= timing_.lease_s) return;
     for (auto& [key, t] : tasks_) leave(key, t);
     tasks_.clear();
-    ++session_;
+    ++epoch_;
     began_ = world_.now();
     changed();
   }
@@ -467,7 +466,7 @@
   Timing timing_;
   std::vector<std::string> nodes_, names_;
   std::size_t node_ = 0;
-  std::uint32_t session_ = 1;
+  std::uint32_t epoch_ = 1;
   std::uint64_t seq_ = 0, token_ = 0;
   TimePoint began_{}, renewed_{};
   static constexpr auto kPatience = 4s;  // with an answer
--- a/tests/sim/scenario.hpp
+++ b/tests/sim/scenario.hpp
@@ -428,7 +428,7 @@
   return a;
 }
 
-// Takes the orders of which this says so out of the answer to a report.
+// Takes the orders of which this says so out of the answer to a heartbeat.
 inline void take_out(const HttpRequest& request, HttpResponse& r,
                      const std::function<bool(const Json&)>& which) {
   if (request.target != "/v1/report" || r.status != 200) return;
--- a/tests/troubles_test.cpp
+++ b/tests/troubles_test.cpp
@@ -10,8 +10,8 @@
 
 using namespace sim;
 
-// Reports arrive, answers and commands do not: without a guard the leader would send it work again
-// and again, for as long as the trouble lasts.
+// Heartbeats arrive, answers and commands do not: without a guard the leader would send it work
+// again and again, for as long as the trouble lasts.
 TEST(DeafMachine, GetsNoMoreWorkAndIsReturned) {
   Scenario s(21);
   for (int i = 0; i < 8; ++i) s.submit(array(4, 30));
@@ -107,29 +107,29 @@
 
 class MachineView : public testing::Test {
  protected:
-  static WorkerReport report(std::uint64_t session, std::uint64_t seq,
-                             std::vector<TaskReport> tasks = {}) {
-    WorkerReport r;
+  static Heartbeat report(std::uint64_t epoch, std::uint64_t sequence,
+                          std::vector<TaskStatus> tasks = {}) {
+    Heartbeat r;
     r.machine = "n-1";
-    r.session = session;
-    r.seq = seq;
+    r.epoch = epoch;
+    r.sequence = sequence;
     r.tasks = std::move(tasks);
     return r;
   }
-  static TaskReport task(std::uint64_t attempt) {
+  static TaskStatus task(std::uint64_t attempt) {
     return {{"req-1", 0}, attempt, TaskState::Running, ExitCause::None, false};
   }
   fleet::Machines machines;
   std::vector<fleet::TaskEvent> events;
 };
 
-// What a session says after its lease has run out here comes late, however new it looks.
+// What a epoch says after its lease has run out here comes late, however new it looks.
 TEST_F(MachineView, AReportOfALostSessionBringsBackNothing) {
   machines.apply(report(1, 5, {task(7)}), {}, 0, events);
   auto& m = machines.at("n-1");
   machines.clear(m, events);
   m.silent = true;
-  m.first_session = m.session + 1;
+  m.first_valid_epoch = m.epoch + 1;
   events.clear();
   EXPECT_EQ(machines.apply(report(1, 6, {task(7)}), {}, 0, events), fleet::Machines::Order::Late);
   EXPECT_TRUE(events.empty());
@@ -324,7 +324,7 @@
   // Idle ones may be returned meanwhile.
   std::map<std::string, std::uint32_t> busy_sessions;
   for (const auto& m : machines) {
-    if (m->free().cpus < m->shape.cpus) busy_sessions[m->id] = m->session();
+    if (m->free().cpus < m->shape.cpus) busy_sessions[m->id] = m->epoch();
     s.world.deafen(s.name(first), m->id, true);
     s.world.deafen(m->id, s.name(first), true);
   }
@@ -336,7 +336,7 @@
     const auto busy = busy_sessions.find(m->id);
     if (busy == busy_sessions.end()) continue;
     EXPECT_FALSE(m->ended) << m->id;
-    EXPECT_EQ(m->session(), busy->second) << m->id << ": its lease has run out";
+    EXPECT_EQ(m->epoch(), busy->second) << m->id << ": its lease has run out";
   }
   s.world.hear_again();
   s.world.run_until(400);
