--- a/src/autoscale/autoscale.cpp
+++ b/src/autoscale/autoscale.cpp
@@ -55,7 +55,7 @@
   runtime_.after(kTick, [self = weak_from_this()] {
     if (const auto a = self.lock()) a->tick();
   });
-  if (!duties_.entitled() || !fleet_->loaded() || !catalog_.known()) return;
+  if (!duties_.entitled() || !fleet_->recovered() || !catalog_.known()) return;
   list_machines();
   settle_machines();
   return_policy_.update(runtime_.now());
@@ -63,12 +63,12 @@
   consolidate();
   show_orphans();
   // What an earlier leader rented shows in the list first.
-  if (first_list_ != TimePoint{} && fleet_->settled()) rent();
+  if (first_list_ != TimePoint{} && fleet_->reconciled()) rent();
 }
 
 void Autoscaler::list_machines() {
   const auto now = runtime_.now();
-  const Duration every = fleet_->settled() ? Duration(kListEvery) : Duration(kListUnsettled);
+  const Duration every = fleet_->reconciled() ? Duration(kListEvery) : Duration(kListUnsettled);
   if (listing_ || now - last_list_ < every || !cloud_.may_call()) return;
   listing_ = true;
   last_list_ = now;
@@ -103,15 +103,15 @@
   for (const auto& machine : inventory_.take_vanished()) operations_->settle(machine);
 }
 
-// Machines that the ledger names are settled once they are on the roster: a later leader then knows
-// of them from there.
+// Machines that the ledger names are settled once they are on the machine registry: a later leader
+// then knows of them from there.
 void Autoscaler::settle_machines() {
   inventory_.update(fleet_->machines(), runtime_.now());
   std::vector<std::string> settled;
   for (const auto& [machine, operation] : operations_->unsettled()) {
     const auto* m = fleet_->machines().find(machine);
     const bool pending = m == nullptr && inventory_.pending().count(machine) != 0;
-    const bool joining = m != nullptr && !m->rostered;
+    const bool joining = m != nullptr && !m->registered;
     if (!pending && !joining) settled.push_back(machine);
   }
   for (const auto& machine : settled) operations_->settle(machine);
@@ -172,7 +172,7 @@
     const std::string& type, const std::map<std::string, PendingMachine>& pending) const {
   CountByZone out;
   for (const auto& [id, m] : fleet_->machines().all()) {
-    if (m.type == type && m.reconciled && !m.silent) ++out[m.zone];
+    if (m.type == type && m.reconciled && !m.lease_expired) ++out[m.zone];
   }
   for (const auto& [id, p] : pending) {
     if (p.pool.type == type) ++out[p.pool.zone];
@@ -276,7 +276,7 @@
   }
   for (const auto& [id, m] : fleet_->machines().all()) {
     const auto* type = catalog_.find(m.type);
-    if (type != nullptr && m.reconciled && !m.silent) cpus += type->cpus;
+    if (type != nullptr && m.reconciled && !m.lease_expired) cpus += type->cpus;
   }
   return Seconds(cpus > 0 ? work / cpus : 0);
 }
--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -15,8 +15,8 @@
 constexpr int kAwaitedBoots = 5;     // longer, while a gang may be waiting for it
 constexpr double kTightBoots = 2.5;  // boots may take that much longer than stated
 constexpr auto kTakeOverPatience = 4s;
-constexpr int kUnresponsiveLeases = 3;  // so long a machine may seem not to hear answers
-constexpr auto kSilentPatience = 20s;   // beyond the lease, before a silent machine is returned
+constexpr int kUnresponsiveLeases = 3;      // so long a machine may seem not to hear answers
+constexpr auto kLeaseExpiredTimeout = 20s;  // beyond the lease, before a silent machine is returned
 
 }  // namespace
 
@@ -29,9 +29,9 @@
   }
   // A take-over waits for every machine that may hold tasks. Of those that neither report nor are
   // listed, a return tells at once that they are gone, instead of their leases running out.
-  if (fleet_.settled() || now - first_list <= kTakeOverPatience) return;
+  if (fleet_.reconciled() || now - first_list <= kTakeOverPatience) return;
   for (const auto& [id, m] : fleet_.machines().all()) {
-    if (!m.reconciled && !m.silent && !inventory_.listed_last(id)) {
+    if (!m.reconciled && !m.lease_expired && !inventory_.listed_last(id)) {
       due_.emplace(id, duties::ReturnReason::Unlisted);
     }
   }
@@ -47,7 +47,7 @@
       continue;
     }
     // What is being emptied stays closed, whatever came before.
-    if (!m.reconciled || m.silent || m.has_active_attempts()) continue;
+    if (!m.reconciled || m.lease_expired || m.has_active_attempts()) continue;
     const auto since = idle_since_.find(id);
     idle[id] = since == idle_since_.end() ? now : since->second;
     release(m, idle[id], room, now);
@@ -96,8 +96,8 @@
   if (m.unresponsive_since && now - *m.unresponsive_since > settings_.lease * kUnresponsiveLeases) {
     return duties::ReturnReason::Unreachable;
   }
-  if (m.silent && now - m.last_answered > settings_.lease + kSilentPatience) {
-    return duties::ReturnReason::Silent;
+  if (m.lease_expired && now - m.last_answered > settings_.lease + kLeaseExpiredTimeout) {
+    return duties::ReturnReason::LeaseExpired;
   }
   return std::nullopt;
 }
@@ -106,7 +106,7 @@
                                  const FreeRoom& room, TimePoint now) const {
   const Duration idle = now - idle_since;
   const Duration keep = to_duration(boot_time(m.type) * kIdleBoots);
-  if (!fleet_.settled() || idle <= keep) return false;
+  if (!fleet_.reconciled() || idle <= keep) return false;
   if (idle <= keep * kAwaitedBoots && gang_waits_for(m)) return false;
   return may_spare(m, room);
 }
--- a/src/base/model.hpp
+++ b/src/base/model.hpp
@@ -68,7 +68,7 @@
   std::string machine, address, type, zone;
   bool spot = false;
   std::uint64_t epoch = 0, sequence = 0, token = 0;
-  std::optional<Seconds> notice;
+  std::optional<Seconds> preemption_notice;
   std::vector<TaskStatus> tasks;
 };
 
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -210,7 +210,7 @@
   return parse_settings(text.str());
 }
 
-Duration view_limit(const Settings& s) {
+Duration max_view_staleness(const Settings& s) {
   // For drift on both terms, the worker's own timer and the steps in between.
   const Duration slack = std::max<Duration>(2s, s.heartbeat_interval);
   const auto drifted = to_duration(Seconds(seconds(s.lease) * (1 + 2 * kClockDrift)));
@@ -224,7 +224,7 @@
 }
 
 Duration leader_ttl(const Settings& s) {
-  const Duration room = view_limit(s);
+  const Duration room = max_view_staleness(s);
   const Duration in_time = s.lease * 3 / 5;
   return std::min(room,
                   in_time >= kShortestGrant ? std::min(in_time, kLongestGrant) : kLongestGrant);
--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -64,7 +64,7 @@
 // How old the leader's view of the live jobs may be, counted from when it was asked for, while it
 // answers heartbeats. Each answer may renew a lease, so a cancellation that it cannot see yet takes
 // effect within this and a lease; see "Why cancelled tasks end in time" in docs/design.md.
-Duration view_limit(const Settings& settings);
+Duration max_view_staleness(const Settings& settings);
 
 // How long the leader's grant lives. Long enough to ride out ordinary trouble of the state
 // service, short enough that a leader cut off from the store loses its entitlement, and its
--- a/src/duties/machine_operations.hpp
+++ b/src/duties/machine_operations.hpp
@@ -45,9 +45,9 @@
   // Operations that the cloud has not answered yet.
   const std::map<std::string, Operation>& open() const { return open_; }
   bool returning() const;
-  // Granted machines that are neither on the roster nor known to be gone.
+  // Granted machines that are neither on the machine registry nor known to be gone.
   const std::map<std::string, std::string>& unsettled() const { return unsettled_; }
-  // The machine is on the roster, or gone: the ledger need not name it any more.
+  // The machine is on the machine registry, or gone: the ledger need not name it any more.
   void settle(const std::string& machine);
 
  private:
--- a/src/duties/operation.cpp
+++ b/src/duties/operation.cpp
@@ -22,7 +22,7 @@
 constexpr std::array<Word<ReturnReason>, 7> kReasons{{{ReturnReason::Idle, "idle"},
                                                       {ReturnReason::Faulty, "faulty"},
                                                       {ReturnReason::Unreachable, "unreachable"},
-                                                      {ReturnReason::Silent, "silent"},
+                                                      {ReturnReason::LeaseExpired, "silent"},
                                                       {ReturnReason::FailedBoot, "failed boot"},
                                                       {ReturnReason::Stopped, "stopped"},
                                                       {ReturnReason::Unlisted, "unlisted"}}};
@@ -61,7 +61,7 @@
 }
 
 bool gives_up_work(ReturnReason reason) {
-  return reason == ReturnReason::Unreachable || reason == ReturnReason::Silent ||
+  return reason == ReturnReason::Unreachable || reason == ReturnReason::LeaseExpired ||
          reason == ReturnReason::Stopped || reason == ReturnReason::Unlisted;
 }
 
--- a/src/duties/operation.hpp
+++ b/src/duties/operation.hpp
@@ -30,13 +30,13 @@
 bool is_over(OperationState state);
 
 enum class ReturnReason {
-  Idle,         // not needed, known to be empty
-  Faulty,       // fails its tasks; emptied first
-  Unreachable,  // reports, but no answer has reached it for long
-  Silent,       // its lease has long run out
-  FailedBoot,   // has not come up
-  Stopped,      // listed as failed
-  Unlisted      // a take-over waits for it, and it neither reports nor is listed
+  Idle,          // not needed, known to be empty
+  Faulty,        // fails its tasks; emptied first
+  Unreachable,   // reports, but no answer has reached it for long
+  LeaseExpired,  // its lease has long run out
+  FailedBoot,    // has not come up
+  Stopped,       // listed as failed
+  Unlisted       // a take-over waits for it, and it neither reports nor is listed
 };
 
 // Whether tasks that the machine may hold are given up on purpose. All other returns are of
--- a/src/fleet/commands.cpp
+++ b/src/fleet/commands.cpp
@@ -73,7 +73,7 @@
 
 // Marks as ordered only what fits into the answer.
 void Fleet::order_starts(Machine& m, std::uint64_t sequence, std::vector<Command>& out) {
-  if (!m.rostered || starts_held_ || !usable(m)) return;
+  if (!m.registered || launches_suspended_ || !usable(m)) return;
   for (auto& [key, o] : m.attempts) {
     if (out.size() >= kMostCommands) return;
     const Job* job = jobs_.find(o.task.job);
--- a/src/fleet/durable.cpp
+++ b/src/fleet/durable.cpp
@@ -1,4 +1,4 @@
-// What the leader makes durable: the roster of machines, progress, and how jobs end.
+// What the leader makes durable: the machine registry of machines, progress, and how jobs end.
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 namespace asterstair::fleet {
 namespace {
 
-constexpr std::size_t kRoomPerName = 40;  // bytes in a chunk of the roster
+constexpr std::size_t kRoomPerName = 40;  // bytes in a chunk of the machine registry
 
 }  // namespace
 
@@ -52,76 +52,77 @@
   }
 }
 
-// Of the machines that a chunk of the roster names, those that are there still.
-std::set<std::string> Fleet::present_in_roster(std::size_t chunk) const {
+// Of the machines that a chunk of the machine registry names, those that are there still.
+std::set<std::string> Fleet::present_in_registry(std::size_t chunk) const {
   std::set<std::string> out;
-  std::copy_if(roster_[chunk].begin(), roster_[chunk].end(), std::inserter(out, out.end()),
+  std::copy_if(registry_[chunk].begin(), registry_[chunk].end(), std::inserter(out, out.end()),
                [this](const std::string& id) { return present(id); });
   return out;
 }
 
 bool Fleet::present(const std::string& id) const {
   const Machine* m = machines_.find(id);
-  return m != nullptr && !m->silent;
+  return m != nullptr && !m->lease_expired;
 }
 
 // The first chunk that names machines that have gone, or has room for new ones; a new one if need
 // be.
-std::optional<std::size_t> Fleet::roster_chunk_to_write(std::size_t names_per_chunk) {
-  for (std::size_t chunk = 0; chunk < roster_.size(); ++chunk) {
-    const auto& names = roster_[chunk];
-    if (!roster_waiting_.empty() && names.size() < names_per_chunk) return chunk;
+std::optional<std::size_t> Fleet::registry_chunk_to_write(std::size_t names_per_chunk) {
+  for (std::size_t chunk = 0; chunk < registry_.size(); ++chunk) {
+    const auto& names = registry_[chunk];
+    if (!registry_additions_.empty() && names.size() < names_per_chunk) return chunk;
     const bool all_present = std::all_of(names.begin(), names.end(),
                                          [this](const std::string& id) { return present(id); });
     if (!all_present) return chunk;
   }
-  if (roster_waiting_.empty()) return std::nullopt;
-  roster_.emplace_back();
-  return roster_.size() - 1;
+  if (registry_additions_.empty()) return std::nullopt;
+  registry_.emplace_back();
+  return registry_.size() - 1;
 }
 
-void Fleet::write_roster() {
-  if (roster_writing_) return;
-  for (auto it = roster_waiting_.begin(); it != roster_waiting_.end();) {
+void Fleet::write_registry() {
+  if (registry_write_in_flight_) return;
+  for (auto it = registry_additions_.begin(); it != registry_additions_.end();) {
     const Machine* m = machines_.find(*it);
-    it = m == nullptr || m->rostered ? roster_waiting_.erase(it) : std::next(it);
+    it = m == nullptr || m->registered ? registry_additions_.erase(it) : std::next(it);
   }
-  if (!roster_stale_ && roster_waiting_.empty()) return;
+  if (!registry_stale_ && registry_additions_.empty()) return;
   const std::size_t names_per_chunk = settings_.value_bytes / kRoomPerName;
-  const auto chunk = roster_chunk_to_write(names_per_chunk);
+  const auto chunk = registry_chunk_to_write(names_per_chunk);
   if (!chunk) {
-    roster_stale_ = false;
+    registry_stale_ = false;
     return;
   }
-  auto names = present_in_roster(*chunk);
+  auto names = present_in_registry(*chunk);
   // Left out before the write is sent: one that comes back gets no work until it is entered anew.
-  for (const auto& id : roster_[*chunk]) {
+  for (const auto& id : registry_[*chunk]) {
     if (names.count(id) != 0) continue;
-    if (Machine* m = machines_.find(id)) m->rostered = false;
+    if (Machine* m = machines_.find(id)) m->registered = false;
   }
   std::vector<std::string> added;
-  for (const auto& id : roster_waiting_) {
+  for (const auto& id : registry_additions_) {
     if (names.size() >= names_per_chunk) break;
     names.insert(id);
     added.push_back(id);
   }
   wire::Txn txn;
-  txn.changes = {{store::roster_key(*chunk),
-                  store::encode_roster(std::vector<std::string>(names.begin(), names.end()))}};
-  roster_writing_ = true;
+  txn.changes = {
+      {store::machine_registry_key(*chunk),
+       store::encode_machine_registry(std::vector<std::string>(names.begin(), names.end()))}};
+  registry_write_in_flight_ = true;
   write_own(std::move(txn), store::Urgency::Start,
             [this, chunk = *chunk, names = std::move(names), added = std::move(added)](bool done) {
-              roster_writing_ = false;
-              if (done) roster_written(chunk, names, added);
+              registry_write_in_flight_ = false;
+              if (done) registry_written(chunk, names, added);
             });
 }
 
-void Fleet::roster_written(std::size_t chunk, const std::set<std::string>& names,
-                           const std::vector<std::string>& added) {
-  roster_[chunk] = names;
+void Fleet::registry_written(std::size_t chunk, const std::set<std::string>& names,
+                             const std::vector<std::string>& added) {
+  registry_[chunk] = names;
   for (const auto& id : added) {
-    roster_waiting_.erase(id);
-    if (Machine* m = machines_.find(id)) m->rostered = true;
+    registry_additions_.erase(id);
+    if (Machine* m = machines_.find(id)) m->registered = true;
   }
 }
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -27,8 +27,8 @@
       election_(election),
       settings_(settings),
       catalog_(catalog),
-      view_limit_(view_limit(settings)),
-      watch_wait_(std::min<Duration>(kWatchWait, view_limit_ / kWatchesInLimit)),
+      max_view_staleness_(max_view_staleness(settings)),
+      watch_wait_(std::min<Duration>(kWatchWait, max_view_staleness_ / kWatchesInLimit)),
       token_(election.token()),
       elected_at_(runtime.now()),
       earlier_leaders_end_(election.earlier_leaders_end()),
@@ -44,17 +44,17 @@
   runtime_.after(kTick, [self = weak_from_this()] {
     if (const auto f = self.lock()) f->tick();
   });
-  if (!loaded_) return;
+  if (!recovered_) return;
   expire_leases();
   while (!arrivals_.empty() && runtime_.now() - arrivals_.front().at > kArrivalWindow) {
     arrivals_.pop_front();
   }
-  check_settled();
+  check_reconciled();
   check_gangs();
-  for (auto& [id, m] : machines_.all()) check_notice(m);
+  for (auto& [id, m] : machines_.all()) on_preemption_notice(m);
   release_plans();
   if (!election_.entitled()) return;
-  write_roster();
+  write_registry();
   begin_jobs();
   const auto now = runtime_.now();
   for (auto& [id, job] : jobs_.all()) {
@@ -77,7 +77,7 @@
   std::size_t up = 0, waiting = 0;
   for (const auto& [id, m] : machines_.all()) {
     const auto* type = catalog_.find(m.type);
-    if (type == nullptr || !m.reconciled || m.silent) continue;
+    if (type == nullptr || !m.reconciled || m.lease_expired) continue;
     ++up;
     room.add(sched::Resources{type->cpus, type->gpus, type->memory_gb});
     used.add(m.usage.used);
@@ -90,19 +90,20 @@
 }
 
 bool Fleet::usable(const Machine& m, TimePoint now) const {
-  return m.reconciled && !m.silent && m.service == Machine::Service::InUse && !m.faulty &&
-         !m.goes_at && !m.unresponsive_since && now >= m.no_room_until && now >= m.paused_until &&
+  return m.reconciled && !m.lease_expired && m.service == Machine::Service::InUse && !m.faulty &&
+         !m.reclaim_at && !m.unresponsive_since && now >= m.no_room_until &&
+         now >= m.paused_until &&
          now - m.last_heartbeat < settings_.heartbeat_interval * 5 / 2 + 1s;
 }
 
 bool Fleet::heartbeats_lost() const {
-  if (!loaded_ || runtime_.now() - last_heartbeat_at_ <
-                      settings_.heartbeat_interval * 5 / 4 + kHeartbeatGrace) {
+  if (!recovered_ || runtime_.now() - last_heartbeat_at_ <
+                         settings_.heartbeat_interval * 5 / 4 + kHeartbeatGrace) {
     return false;
   }
   const auto& all = machines_.all();
   return std::count_if(all.begin(), all.end(), [](const auto& m) {
-           return !m.second.silent && (m.second.reconciled || m.second.rostered);
+           return !m.second.lease_expired && (m.second.reconciled || m.second.registered);
          }) >= kSeveral;
 }
 
@@ -147,7 +148,7 @@
 std::map<std::pair<std::string, bool>, std::size_t> Fleet::group_sizes() const {
   std::map<std::pair<std::string, bool>, std::size_t> out;
   for (const auto& [id, m] : machines_.all()) {
-    if (m.reconciled && !m.silent) ++out[{m.zone, m.spot}];
+    if (m.reconciled && !m.lease_expired) ++out[{m.zone, m.spot}];
   }
   return out;
 }
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -56,14 +56,16 @@
   // Only while current(): each answer may renew a lease.
   HttpResponse on_heartbeat(const Heartbeat& heartbeat);
 
-  bool loaded() const { return loaded_; }
+  bool recovered() const { return recovered_; }
   // Whether the view of the live jobs is recent enough for reports to be answered.
-  bool current() const { return loaded_ && runtime_.now() - view_asked_at_ < view_limit_; }
+  bool view_is_fresh() const {
+    return recovered_ && runtime_.now() - view_requested_at_ < max_view_staleness_;
+  }
   // A sibling, or this node, has confirmed the cancellation: the watch may be late, or cut off.
   void cancelled(const std::string& job);
   // While others may confirm cancellations that this node cannot see, nothing new is started.
-  void hold_starts(bool hold) { starts_held_ = hold; }
-  bool settled() const { return settled_; }
+  void suspend_launches(bool hold) { launches_suspended_ = hold; }
+  bool reconciled() const { return reconciled_; }
   // Whether no heartbeat has come for so long, from several machines, that they cannot all be at
   // fault.
   bool heartbeats_lost() const;
@@ -104,8 +106,8 @@
 
   void load();
   void load_progress();
-  void load_roster();
-  void add_roster_chunk(const wire::Item& item);
+  void load_registry();
+  void add_registry_chunk(const wire::Item& item);
   void finish_loading();
   void watch(std::uint64_t after, Duration wait);
   void reload_later();
@@ -115,8 +117,8 @@
   void tick();
   void sum_up() const;
   void expire_leases();
-  void check_settled();
-  void write_roster();
+  void check_reconciled();
+  void write_registry();
   void begin_jobs();
   void begin(Job& job);
   void flush(Job& job);
@@ -135,15 +137,15 @@
   void write_own(wire::Txn txn, store::Urgency urgency, std::function<void(bool)> done);
   void read_versions(const std::vector<std::string>& keys, const std::function<void()>& done);
   bool present(const std::string& machine) const;
-  std::set<std::string> present_in_roster(std::size_t chunk) const;
-  std::optional<std::size_t> roster_chunk_to_write(std::size_t names_per_chunk);
-  void roster_written(std::size_t chunk, const std::set<std::string>& names,
-                      const std::vector<std::string>& added);
+  std::set<std::string> present_in_registry(std::size_t chunk) const;
+  std::optional<std::size_t> registry_chunk_to_write(std::size_t names_per_chunk);
+  void registry_written(std::size_t chunk, const std::set<std::string>& names,
+                        const std::vector<std::string>& added);
   void check_gangs();
-  void check_notice(Machine& machine);
+  void on_preemption_notice(Machine& machine);
   using DirectStops = std::vector<std::pair<std::string, Command>>;  // with their machines
-  std::optional<Seconds> grace_on_notice(const Machine& machine,
-                                         const TaskAttempt& task_attempt) const;
+  std::optional<Seconds> grace_before_reclaim(const Machine& machine,
+                                              const TaskAttempt& task_attempt) const;
   void stop_gang(const Job& job, Seconds grace, DirectStops& direct);
   void send_direct(const DirectStops& stops, bool read_answers = false);
   void pump_direct();
@@ -200,14 +202,15 @@
     bool read_answer = false;
   };
 
-  Duration view_limit_, watch_wait_;
+  Duration max_view_staleness_, watch_wait_;
   std::uint64_t token_ = 0, attempts_ = 0;
   TimePoint elected_at_{}, earlier_leaders_end_{}, last_heartbeat_at_{}, next_plan_{},
       next_preempt_{}, summed_up_at_{};
-  TimePoint view_asked_at_{};  // of the newest view that has arrived
-  bool roster_loaded_ = false, open_returns_known_ = false;
-  bool stopped_ = false, loaded_ = false, settled_ = false, plan_wanted_ = false, plan_due_ = false;
-  bool starts_held_ = false, any_heartbeat_ = false;
+  TimePoint view_requested_at_{};  // of the newest view that has arrived
+  bool registry_loaded_ = false, open_returns_known_ = false;
+  bool stopped_ = false, recovered_ = false, reconciled_ = false, plan_wanted_ = false,
+       plan_due_ = false;
+  bool launches_suspended_ = false, any_heartbeat_ = false;
   std::deque<Direct> directs_;
   std::size_t directs_in_flight_ = 0;
   // Cancelled, as siblings say: the watch may yet tell of them as live.
@@ -221,13 +224,13 @@
   // Versions of the keys that only the leader writes. A write that was never answered may be
   // carried out late; being conditional on the version, it cannot then undo a newer one.
   std::map<std::string, std::uint64_t> versions_;
-  std::vector<std::set<std::string>> roster_;  // as durable
-  std::set<std::string> roster_waiting_;
-  bool roster_writing_ = false;
-  // Whether the durable roster may name machines that have gone.
-  bool roster_stale_ = false;
-  // On the roster, and neither heard under this token nor known to be without tasks.
-  std::set<std::string> awaited_;
+  std::vector<std::set<std::string>> registry_;  // as durable
+  std::set<std::string> registry_additions_;
+  bool registry_write_in_flight_ = false;
+  // Whether the durable machine registry may name machines that have gone.
+  bool registry_stale_ = false;
+  // On the machine registry, and neither heard under this token nor known to be without tasks.
+  std::set<std::string> pending_reconciliation_;
   sched::LossRates losses_;
   mutable std::map<std::pair<std::string, bool>, std::size_t> sizes_;
   mutable TimePoint sizes_at_{};
--- a/src/fleet/gangs.cpp
+++ b/src/fleet/gangs.cpp
@@ -1,4 +1,4 @@
-// Whole-gang stops and spot notices, and the direct path that tells a gang in time.
+// Whole-gang stops and preemption notices, and the direct path that tells a gang in time.
 
 #include "base/log.hpp"
 #include "fleet/fleet.hpp"
@@ -73,9 +73,9 @@
 }
 
 // How long a task may take to save if it is to be stopped on the notice: none if it may go on.
-std::optional<Seconds> Fleet::grace_on_notice(const Machine& m, const TaskAttempt& o) const {
+std::optional<Seconds> Fleet::grace_before_reclaim(const Machine& m, const TaskAttempt& o) const {
   const auto now = runtime_.now();
-  const Seconds left = m.goes_at ? Seconds(*m.goes_at - now) : kNoNotice;
+  const Seconds left = m.reclaim_at ? Seconds(*m.reclaim_at - now) : kNoNotice;
   const auto& job = *o.job;
   if (job.checkpoint.count() > 0 && sched::final_save_fits(job.save, kRestartTime, left)) {
     return job.save + Seconds(settings_.gang_peer);
@@ -83,7 +83,7 @@
   // What cannot be saved and will not end in time is lost anyway; elsewhere at once is better than
   // after the machine's lease has run out.
   const Seconds ran = o.running_since == TimePoint{} ? Seconds(0) : Seconds(now - o.running_since);
-  if (!m.goes_at || job.estimate - ran <= left * kEndsInTime) return std::nullopt;
+  if (!m.reclaim_at || job.estimate - ran <= left * kEndsInTime) return std::nullopt;
   return Seconds(0);
 }
 
@@ -101,13 +101,13 @@
   }
 }
 
-void Fleet::check_notice(Machine& m) {
+void Fleet::on_preemption_notice(Machine& m) {
   // A drained machine's tasks may end by themselves.
-  if (!m.goes_at && !m.faulty) return;
+  if (!m.reclaim_at && !m.faulty) return;
   DirectStops direct;
   for (auto& [key, o] : m.attempts) {
     if (o.phase != TaskAttempt::Phase::Observed || o.stop || !o.job) continue;
-    const auto grace = grace_on_notice(m, o);
+    const auto grace = grace_before_reclaim(m, o);
     if (!grace) continue;
     if (!o.job->gang()) {
       stop_attempt(m, o, *grace);
--- a/src/fleet/loading.cpp
+++ b/src/fleet/loading.cpp
@@ -43,8 +43,8 @@
     }
     for (const auto& id : ended) f->job_ended(id);
     f->live_revision_ = r.revision;
-    f->view_asked_at_ = asked;
-    if (f->loaded_) {
+    f->view_requested_at_ = asked;
+    if (f->recovered_) {
       f->watch(r.revision, f->watch_wait_);
     } else {
       f->load_progress();
@@ -92,31 +92,31 @@
         Jobs::rebuild_waiting(job);
       }
     }
-    f->load_roster();
+    f->load_registry();
   });
 }
 
-void Fleet::load_roster() {
-  store_.list(store::kRosterPrefix, [self = weak_from_this()](const store::ListResult& r) {
+void Fleet::load_registry() {
+  store_.list(store::kMachineRegistryPrefix, [self = weak_from_this()](const store::ListResult& r) {
     const auto f = self.lock();
     if (!f || !f->alive()) return;
     if (!r.ok) {
       f->reload_later();
       return;
     }
-    f->roster_.clear();
-    for (const auto& item : r.items) f->add_roster_chunk(item);
-    f->roster_stale_ = true;
-    f->roster_loaded_ = true;
+    f->registry_.clear();
+    for (const auto& item : r.items) f->add_registry_chunk(item);
+    f->registry_stale_ = true;
+    f->registry_loaded_ = true;
     f->finish_loading();
   });
 }
 
-void Fleet::add_roster_chunk(const wire::Item& item) {
+void Fleet::add_registry_chunk(const wire::Item& item) {
   versions_[item.key] = item.version;
   std::set<std::string> chunk;
   try {
-    for (auto& m : store::decode_roster(*item.value)) chunk.insert(std::move(m));
+    for (auto& m : store::decode_machine_registry(*item.value)) chunk.insert(std::move(m));
   } catch (const wire::BadMessage& e) {
     log::error("roster is malformed: {}", e.what());
   }
@@ -125,22 +125,22 @@
     if (gone_.count(id) != 0) continue;
     Machine& m = machines_.at(id);
     m.id = id;
-    m.rostered = true;
+    m.registered = true;
     if (returning_.count(id) != 0) m.service = Machine::Service::Returning;
-    if (!m.reconciled && !m.silent) awaited_.insert(id);
+    if (!m.reconciled && !m.lease_expired) pending_reconciliation_.insert(id);
     // No earlier leader answers after that; its answers renewed no later.
     if (m.last_answered == TimePoint{}) m.last_answered = earlier_leaders_end_;
   }
-  roster_.push_back(std::move(chunk));
+  registry_.push_back(std::move(chunk));
 }
 
 void Fleet::finish_loading() {
-  if (loaded_ || !roster_loaded_ || !open_returns_known_) return;
-  loaded_ = true;
+  if (recovered_ || !registry_loaded_ || !open_returns_known_) return;
+  recovered_ = true;
   log::info("term {}: {} live jobs, {} machines to hear from", token_, jobs_.all().size(),
             machines_.all().size());
   watch(live_revision_, watch_wait_);
-  check_settled();
+  check_reconciled();
 }
 
 void Fleet::watch(std::uint64_t after, Duration wait) {
@@ -161,7 +161,7 @@
                    });
                    return;
                  }
-                 f->view_asked_at_ = std::max(f->view_asked_at_, asked);
+                 f->view_requested_at_ = std::max(f->view_requested_at_, asked);
                  for (const auto& item : r.events.items) {
                    if (item.value) {
                      f->add_live(item);
@@ -227,9 +227,9 @@
   job_ended(id);
 }
 
-void Fleet::check_settled() {
-  if (settled_ || !loaded_ || !awaited_.empty()) return;
-  settled_ = true;
+void Fleet::check_reconciled() {
+  if (reconciled_ || !recovered_ || !pending_reconciliation_.empty()) return;
+  reconciled_ = true;
   for (auto& [id, job] : jobs_.all()) {
     if (job.begun_before) Jobs::rebuild_waiting(job);
   }
--- a/src/fleet/machines.cpp
+++ b/src/fleet/machines.cpp
@@ -92,10 +92,10 @@
   m.epoch = r.epoch;
   m.sequence = r.sequence;
   m.reconciled = true;
-  m.silent = false;
+  m.lease_expired = false;
   m.last_heartbeat = now;
-  m.goes_at.reset();
-  if (r.notice) m.goes_at = now + to_duration(*r.notice);
+  m.reclaim_at.reset();
+  if (r.preemption_notice) m.reclaim_at = now + to_duration(*r.preemption_notice);
 }
 
 // Whether the heartbeat shows that the task's image is there.
--- a/src/fleet/machines.hpp
+++ b/src/fleet/machines.hpp
@@ -64,9 +64,9 @@
   std::optional<TimePoint> first_answered;
   // Sessions before this one are surely over: what they still say comes late.
   std::uint64_t first_valid_epoch = 0;
-  bool silent = false;  // its lease has surely run out: nothing runs there
+  bool lease_expired = false;  // its lease has surely run out: nothing runs there
   TimePoint first_heartbeat{}, last_heartbeat{}, last_answered{};
-  std::optional<TimePoint> goes_at;  // spot notice
+  std::optional<TimePoint> reclaim_at;  // preemption notices
   // What it is there for. There is no way back.
   enum class Service {
     InUse,
@@ -74,7 +74,7 @@
     Returning  // the same, and its return is, or may be, durable: the cloud may take it any moment
   } service = Service::InUse;
   bool faulty = false;
-  bool rostered = false;  // durable: a later leader will wait for it
+  bool registered = false;  // durable: a later leader will wait for it
   TimePoint no_room_until{}, paused_until{};
   // Heartbeats arrive, but answers seem not to: start orders in a row that never showed, epochs
   // lost in a row, since when it has seemed so, and until when it must show that it hears us by
--- a/src/fleet/moving.cpp
+++ b/src/fleet/moving.cpp
@@ -146,7 +146,7 @@
 }
 
 void Fleet::consolidate(const std::function<bool(const Machine&)>& spare) {
-  if (!settled_ || !election_.entitled() || !demand_.empty()) return;
+  if (!reconciled_ || !election_.entitled() || !demand_.empty()) return;
   auto s = snapshot();
   if (!s.jobs.empty()) return;
   Consolidation consolidation(s.machines);
@@ -175,13 +175,13 @@
   if (m == nullptr) return;
   Events events;
   machines_.clear(*m, events);
-  m->silent = true;
+  m->lease_expired = true;
   handle(*m, events);
   refresh(*m);
   machines_.erase(id);
-  roster_stale_ = true;
-  awaited_.erase(id);
-  check_settled();
+  registry_stale_ = true;
+  pending_reconciliation_.erase(id);
+  check_reconciled();
 }
 
 }  // namespace asterstair::fleet
--- a/src/fleet/reports.cpp
+++ b/src/fleet/reports.cpp
@@ -83,8 +83,8 @@
   if (machines_.apply(r, now, cache_gb(r.type), events) == Machines::Order::Late) {
     return {200, wire::encode_commands(token_, stops_for_ended(r))};
   }
-  awaited_.erase(m.id);
-  if (!m.rostered) roster_waiting_.insert(m.id);
+  pending_reconciliation_.erase(m.id);
+  if (!m.registered) registry_additions_.insert(m.id);
   // A cut may cost epochs, of which all is heard at once when it ends. Losing one after the other
   // while heartbeats arrive shows that answers do not.
   if (epoch_lost && now - m.epoch_lost_at > settings_.lease / 2) {
@@ -93,8 +93,8 @@
   }
   handle(m, events);
   check_responsiveness(m, events);
-  check_notice(m);
-  if (!settled_) check_settled();
+  on_preemption_notice(m);
+  if (!reconciled_) check_reconciled();
   if (plan_wanted_) plan_soon();
   return {200, wire::encode_commands(token_, commands_for(m, r.sequence))};
 }
@@ -104,7 +104,7 @@
 // a later epoch shows in its heartbeats would prove nothing: a late copy may have been the first to
 // arrive, and the later epoch may hold tasks that an earlier leader started.
 bool Fleet::never_sees_token(const Machine& m) const {
-  return !m.reconciled && !m.silent && m.first_answered &&
+  return !m.reconciled && !m.lease_expired && m.first_answered &&
          runtime_.now() - *m.first_answered > settings_.lease * kTokenPatience / kTokenPatienceOf;
 }
 
@@ -112,7 +112,8 @@
 // come free, above all.
 void Fleet::direct_answer(const Heartbeat& r) {
   Machine* m = machines_.find(r.machine);
-  if (m == nullptr || !m->reconciled || m->silent || r.token != token_ || r.epoch != m->epoch) {
+  if (m == nullptr || !m->reconciled || m->lease_expired || r.token != token_ ||
+      r.epoch != m->epoch) {
     return;
   }
   Events events;
@@ -321,14 +322,14 @@
   const auto out =
       to_duration(Seconds(seconds(settings_.lease) * (1 + kClockDrift))) + kLeaseMargin;
   for (auto& [id, m] : machines_.all()) {
-    if (m.silent || now - m.last_answered <= out) continue;
-    m.silent = true;
-    roster_stale_ = true;
-    awaited_.erase(id);
+    if (m.lease_expired || now - m.last_answered <= out) continue;
+    m.lease_expired = true;
+    registry_stale_ = true;
+    pending_reconciliation_.erase(id);
     m.first_answered.reset();
     // Heartbeats made under an earlier token count as well: their answers renewed no later.
     m.first_valid_epoch = std::max(m.epoch, m.latest_heartbeat.first) + 1;
-    if (m.reconciled && !m.goes_at) losses_.lost({m.zone, m.spot}, now);
+    if (m.reconciled && !m.reclaim_at) losses_.lost({m.zone, m.spot}, now);
     log::info("machine {}: its lease has run out", id);
     Events events;
     machines_.clear(m, events);
@@ -336,7 +337,7 @@
   }
 }
 
-// Plans for machines that have fallen silent, or were given up, go to others.
+// Plans for machines that have become unreachable, or were given up, go to others.
 void Fleet::release_plans() {
   const auto now = runtime_.now();
   for (auto& [id, m] : machines_.all()) {
--- a/src/fleet/snapshot.cpp
+++ b/src/fleet/snapshot.cpp
@@ -108,7 +108,7 @@
   if (job.waiting.empty() || runtime_.now() < job.not_before || job.ending) return false;
   // All of a gang or nothing, and nothing while an old attempt is anywhere.
   if (job.spec->gang() && job.waiting.size() != job.spec->tasks) return false;
-  if (settled_) return true;
+  if (reconciled_) return true;
   // Until all machines have been heard from, tasks that nobody reported may run anywhere.
   if (job.begun_before) return false;
   const auto team = settings_.teams.find(job.spec->team);
--- a/src/leader/election.hpp
+++ b/src/leader/election.hpp
@@ -28,7 +28,7 @@
   void claim_resigned(std::uint64_t token) { lease_.claim_resigned(token); }
   // The leader is not heard by a majority of the nodes: claims its key without waiting for its
   // grant to end. It may be entitled still, see earlier_leaders_end().
-  void claim_from_silent_leader() { lease_.claim_from_silent_holder(); }
+  void force_failover() { lease_.force_claim(); }
   // A sibling says that it leads with a higher token.
   void superseded_by(std::uint64_t token) { lease_.superseded_by(token); }
 
--- a/src/lease/acquisition.cpp
+++ b/src/lease/acquisition.cpp
@@ -184,7 +184,7 @@
   check();
 }
 
-void Lease::claim_from_silent_holder() {
+void Lease::force_claim() {
   const auto now = runtime_.now();
   if (held() || holder_version_ == 0 || now < next_contest_ || now < no_claim_before_) return;
   next_contest_ = now + kContestEvery;
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -51,7 +51,7 @@
   void claim_resigned(std::uint64_t token);
   // The holder is not heard by a majority of the nodes: claims its record without waiting for its
   // grant to end. It may be entitled still, see earlier_holders_end().
-  void claim_from_silent_holder();
+  void force_claim();
   // A sibling says that it holds the lease with a higher token.
   void superseded_by(std::uint64_t token);
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -13,8 +13,8 @@
 constexpr auto kStoreAnswerWindow = 3s;
 // A leader that a majority has not heard for so long is replaced. Hints come every kHintsEvery, and
 // a worker that gets no answer looks for another node after 4 s: by then there should be one.
-constexpr auto kLeaderSilence = 4500ms;
-constexpr auto kLeaderSilenceCheckEvery = 500ms;
+constexpr auto kLeaderSuspectTimeout = 4500ms;
+constexpr auto kLeaderCheckInterval = 500ms;
 constexpr auto kTypesEvery = 60s, kTypesRetry = 2s;
 constexpr auto kProbeEvery = 1s;
 constexpr auto kStoreLost = 4s;
@@ -50,7 +50,7 @@
   learn_types();
   share_hints();
   probe_store();
-  check_leader_silence();
+  check_leader_liveness();
 }
 
 void Node::elected() {
@@ -209,12 +209,12 @@
 // A leader that stands still, or is cut off, would keep the key until its grant ends, and the work
 // of workers whose leases are shorter would be lost. Only where the state service answers: in an
 // outage nobody can claim.
-void Node::check_leader_silence() {
-  runtime_.after(kLeaderSilenceCheckEvery, [this] { check_leader_silence(); });
+void Node::check_leader_liveness() {
+  runtime_.after(kLeaderCheckInterval, [this] { check_leader_liveness(); });
   const std::string& leader = election_.leader();
   if (election_.leading() || leader.empty() || !store_.answered_within(kStoreAnswerWindow)) return;
-  if (siblings_.majority_misses(leader, kLeaderSilence, runtime_.now())) {
-    election_.claim_from_silent_leader();
+  if (siblings_.majority_suspects(leader, kLeaderSuspectTimeout, runtime_.now())) {
+    election_.force_failover();
   }
 }
 
@@ -265,15 +265,15 @@
   if (!election_.leading()) {
     std::string leader = election_.leader();
     if (leader.empty()) leader = hinted_leader_;
-    // One that has fallen silent is not recommended: each try of it costs a worker seconds of its
-    // lease, and going round finds whoever takes over.
-    if (siblings_.fallen_silent(leader, runtime_.now())) leader.clear();
+    // One that has become unreachable is not recommended: each try of it costs a worker seconds of
+    // its lease, and going round finds whoever takes over.
+    if (siblings_.is_unreachable(leader, runtime_.now())) leader.clear();
     respond({421, wire::encode_not_leader(leader == settings_.node ? "" : leader)});
     return;
   }
   // Entitlement alone does not do: a touch may succeed again while the watch has not yet told what
   // was cancelled meanwhile.
-  if (!election_.entitled() || !fleet_ || !fleet_->current()) {
+  if (!election_.entitled() || !fleet_ || !fleet_->view_is_fresh()) {
     respond(failure(503, "not entitled to give commands at present"));
     return;
   }
@@ -289,7 +289,7 @@
     respond(failure(503, "a newer leader has been seen"));
     return;
   }
-  fleet_->hold_starts(may_miss_cancellations());
+  fleet_->suspend_launches(may_miss_cancellations());
   respond(fleet_->on_heartbeat(r));
 }
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -42,7 +42,7 @@
   void learn_types();
   void probe_store();
   void check_leadership();
-  void check_leader_silence();
+  void check_leader_liveness();
   HttpResponse ready() const;
   void on_heartbeat(std::string body, const std::function<void(HttpResponse)>& respond);
 
--- a/src/node/sibling_table.cpp
+++ b/src/node/sibling_table.cpp
@@ -38,18 +38,18 @@
   return it == all_.end() || it->second.last_seen == TimePoint{} ? started_ : it->second.last_seen;
 }
 
-bool SiblingTable::fallen_silent(const std::string& node, TimePoint now) const {
+bool SiblingTable::is_unreachable(const std::string& node, TimePoint now) const {
   const auto it = all_.find(node);
   return it != all_.end() && it->second.last_seen != TimePoint{} && !recent(it->second, now);
 }
 
-bool SiblingTable::majority_misses(const std::string& leader, Duration silence,
-                                   TimePoint now) const {
-  if (all_.count(leader) == 0 || now - last_seen(leader) <= silence) return false;
+bool SiblingTable::majority_suspects(const std::string& leader, Duration timeout,
+                                     TimePoint now) const {
+  if (all_.count(leader) == 0 || now - last_seen(leader) <= timeout) return false;
   std::size_t missing = 1;
   for (const auto& [node, status] : all_) {
     if (node == leader || !recent(status, now) || status.leader != leader) continue;
-    if (now - status.leader_last_seen > silence) ++missing;
+    if (now - status.leader_last_seen > timeout) ++missing;
   }
   const std::size_t nodes = all_.size() + 1;
   return missing > nodes / 2;
--- a/src/node/sibling_table.hpp
+++ b/src/node/sibling_table.hpp
@@ -34,10 +34,10 @@
   // When the node was last heard from; of one that never was, when this process started.
   TimePoint last_seen(const std::string& node) const;
   // Whether it has been heard from, but not recently.
-  bool fallen_silent(const std::string& node, TimePoint now) const;
+  bool is_unreachable(const std::string& node, TimePoint now) const;
   // Whether a majority of all nodes, this one included, follows the leader and has not heard from
   // it for so long. One node alone may be the one that is cut off.
-  bool majority_misses(const std::string& leader, Duration silence, TimePoint now) const;
+  bool majority_suspects(const std::string& leader, Duration timeout, TimePoint now) const;
 
  private:
   TimePoint started_;
--- a/src/sched/score.cpp
+++ b/src/sched/score.cpp
@@ -27,8 +27,8 @@
          weight * takeback_chance(loss_rate, remaining) * mean_delay_elsewhere.count();
 }
 
-bool final_save_fits(Seconds checkpoint_time, Seconds restart_time, Seconds notice) {
-  return checkpoint_time + restart_time <= notice;
+bool final_save_fits(Seconds checkpoint_time, Seconds restart_time, Seconds preemption_notice) {
+  return checkpoint_time + restart_time <= preemption_notice;
 }
 
 }  // namespace asterstair::sched
--- a/src/sched/score.hpp
+++ b/src/sched/score.hpp
@@ -25,6 +25,6 @@
                        Seconds mean_delay_elsewhere, double weight = kReLossWeight);
 
 // Whether a final save is worth asking for before a machine goes.
-bool final_save_fits(Seconds checkpoint_time, Seconds restart_time, Seconds notice);
+bool final_save_fits(Seconds checkpoint_time, Seconds restart_time, Seconds preemption_notice);
 
 }  // namespace asterstair::sched
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -19,7 +19,9 @@
 std::string progress_key(const std::string& job, std::size_t chunk) {
   return kProgressPrefix + job + "/" + std::to_string(chunk);
 }
-std::string roster_key(std::size_t chunk) { return kRosterPrefix + std::to_string(chunk); }
+std::string machine_registry_key(std::size_t chunk) {
+  return kMachineRegistryPrefix + std::to_string(chunk);
+}
 
 Json encode_live(const JobSpec& job, WallTime accepted) {
   const auto ms = std::chrono::duration_cast<milliseconds>(accepted.time_since_epoch()).count();
@@ -110,9 +112,11 @@
   return std::pair{key.substr(prefix.size(), slash - prefix.size()), chunk};
 }
 
-Json encode_roster(const std::vector<std::string>& machines) { return {{"machines", machines}}; }
+Json encode_machine_registry(const std::vector<std::string>& machines) {
+  return {{"machines", machines}};
+}
 
-std::vector<std::string> decode_roster(const Json& value) {
+std::vector<std::string> decode_machine_registry(const Json& value) {
   std::vector<std::string> out;
   for (const auto& m : wire::list(value, "machines")) {
     if (m.is_string()) out.push_back(m.get<std::string>());
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -5,7 +5,7 @@
 //   live/<job>        description of an accepted job that is neither done nor cancelled
 //   final/<job>       how a job ended; kept for ever
 //   progress/<job>/n  which tasks are done, in chunks; the first precedes the first start
-//   roster/n          machines that may have been given work
+//   machine registry/n          machines that may have been given work
 //   catalog           machine types as last seen, for starts while the cloud is down
 
 #include <cstdint>
@@ -29,13 +29,13 @@
 inline constexpr const char* kEarlierLeadersEndedKey = "earlier-leaders-ended";
 inline constexpr const char* kLivePrefix = "live/";
 inline constexpr const char* kProgressPrefix = "progress/";
-inline constexpr const char* kRosterPrefix = "roster/";
+inline constexpr const char* kMachineRegistryPrefix = "roster/";
 inline constexpr const char* kCatalogKey = "catalog";
 
 std::string live_key(const std::string& job);
 std::string final_key(const std::string& job);
 std::string progress_key(const std::string& job, std::size_t chunk);
-std::string roster_key(std::size_t chunk);
+std::string machine_registry_key(std::size_t chunk);
 
 struct LiveRecord {
   JobSpec job;
@@ -73,8 +73,8 @@
 // Splits a key of kProgressPrefix; none if it is not one.
 std::optional<std::pair<std::string, std::size_t>> parse_progress_key(const std::string& key);
 
-wire::Json encode_roster(const std::vector<std::string>& machines);
-std::vector<std::string> decode_roster(const wire::Json& value);
+wire::Json encode_machine_registry(const std::vector<std::string>& machines);
+std::vector<std::string> decode_machine_registry(const wire::Json& value);
 
 // Ends a job: exactly one of finishing and cancelling can succeed, since both are conditional on
 // the version of the live record.
--- a/src/wire/heartbeat_decoder.cpp
+++ b/src/wire/heartbeat_decoder.cpp
@@ -82,7 +82,7 @@
     {name::kType, Field::Type},       {name::kZone, Field::Zone},
     {name::kSpot, Field::Spot},       {name::kEpoch, Field::Session},
     {name::kSequence, Field::Seq},    {name::kToken, Field::Token},
-    {name::kTasks, Field::Tasks},     {name::kNotice, Field::Notice}};
+    {name::kTasks, Field::Tasks},     {name::kPreemptionNotice, Field::Notice}};
 
 constexpr NamedField kTaskFields[] = {{name::kTask, Field::Task},
                                       {name::kAttempt, Field::Attempt},
@@ -120,13 +120,13 @@
     if (reads(Field::Seq)) set(report_.sequence, v);
     if (reads(Field::Token)) set(report_.token, v);
     if (reads(Field::Attempt)) set(task_.attempt, v);
-    if (reads(Field::Notice)) report_.notice = Seconds(static_cast<double>(v));
+    if (reads(Field::Notice)) report_.preemption_notice = Seconds(static_cast<double>(v));
     return value();
   }
   bool Double(double v) {
     if (reads(Field::Notice)) {
       if (!std::isfinite(v) || v < 0) return fail("the notice is not a time");
-      report_.notice = Seconds(v);
+      report_.preemption_notice = Seconds(v);
     }
     return value();
   }
--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -65,10 +65,10 @@
         try {
           const auto s = parse_settings(sim::settings_text(0, 3, t));
           ++taken;
-          EXPECT_LE(drifted(view_limit(s)) + drifted(s.lease) + 500ms, s.cancel_within)
+          EXPECT_LE(drifted(max_view_staleness(s)) + drifted(s.lease) + 500ms, s.cancel_within)
               << report << " " << lease << " " << more;
-          EXPECT_LE(leader_ttl(s), view_limit(s));
-          EXPECT_GE(view_limit(s), 2s);
+          EXPECT_LE(leader_ttl(s), max_view_staleness(s));
+          EXPECT_GE(max_view_staleness(s), 2s);
         } catch (const SettingsError& e) {
           ++refused;
           EXPECT_NE(std::string(e.what()).find("cancel_s"), std::string::npos) << e.what();
@@ -199,7 +199,7 @@
   EXPECT_EQ(r.tasks[0].task, (TaskId{"req-000412", 3}));
   EXPECT_EQ(r.tasks[1].cause, ExitCause::Stopped);
   EXPECT_TRUE(r.tasks[1].saved);
-  EXPECT_EQ(r.notice, Seconds(7.5));
+  EXPECT_EQ(r.preemption_notice, Seconds(7.5));
   EXPECT_THROW(wire::decode_heartbeat("{}"), wire::BadMessage);
   const auto out =
       wire::parse(wire::encode_commands(41, {{Command::Op::Stop, {"req-1", 2}, 7, Seconds(10)},
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -65,11 +65,11 @@
   EXPECT_STREQ(store::kCatalogKey, "catalog");
   EXPECT_STREQ(store::kLivePrefix, "live/");
   EXPECT_STREQ(store::kProgressPrefix, "progress/");
-  EXPECT_STREQ(store::kRosterPrefix, "roster/");
+  EXPECT_STREQ(store::kMachineRegistryPrefix, "roster/");
   EXPECT_EQ(store::live_key("req-1"), "live/req-1");
   EXPECT_EQ(store::final_key("req-1"), "final/req-1");
   EXPECT_EQ(store::progress_key("req-1", 3), "progress/req-1/3");
-  EXPECT_EQ(store::roster_key(2), "roster/2");
+  EXPECT_EQ(store::machine_registry_key(2), "roster/2");
   EXPECT_STREQ(duties::kLeaseKey, "duty/machines");
   EXPECT_STREQ(duties::kLedgerPrefix, "ledger/machines/");
   EXPECT_STREQ(duties::kOrphansKey, "orphans/machines");
@@ -120,9 +120,11 @@
   EXPECT_EQ(store::tasks_per_chunk(kValueBytes), 32512U);
 }
 
-TEST(StoredRecords, RosterKeepsItsForm) {
+TEST(StoredRecords, MachineRegistryKeepsItsForm) {
   const char* const literal = R"({"machines":["n-000001","n-000231"]})";
-  EXPECT_EQ(wire::dump(store::encode_roster(store::decode_roster(wire::parse(literal)))), literal);
+  EXPECT_EQ(wire::dump(store::encode_machine_registry(
+                store::decode_machine_registry(wire::parse(literal)))),
+            literal);
 }
 
 TEST(StoredRecords, CatalogKeepsItsForm) {
@@ -240,7 +242,7 @@
   EXPECT_EQ(report.epoch, 1U);
   EXPECT_EQ(report.sequence, 88U);
   EXPECT_EQ(report.token, 41U);
-  EXPECT_EQ(report.notice, Seconds(12.5));
+  EXPECT_EQ(report.preemption_notice, Seconds(12.5));
   const TaskState states[] = {TaskState::Fetching, TaskState::Waiting, TaskState::Running,
                               TaskState::Saving};
   const ExitCause causes[] = {ExitCause::Done,  ExitCause::Stopped, ExitCause::Peers,
--- a/tests/heartbeat_decoder_test.cpp
+++ b/tests/heartbeat_decoder_test.cpp
@@ -43,7 +43,7 @@
   out.token = in["baton"];
   if (in.contains("warningS") && in["warningS"].is_number()) {
     if (in["warningS"] < 0) return std::nullopt;
-    out.notice = Seconds(in["warningS"].get<double>());
+    out.preemption_notice = Seconds(in["warningS"].get<double>());
   }
   for (const auto& t : in["pieces"]) {
     if (!t.is_object() || !t.contains("piece") || !t["piece"].is_string()) return std::nullopt;
@@ -81,7 +81,7 @@
 bool same(const Heartbeat& a, const Heartbeat& b) {
   const auto fields = [](const Heartbeat& r) {
     return std::tie(r.machine, r.address, r.type, r.zone, r.spot, r.epoch, r.sequence, r.token,
-                    r.notice);
+                    r.preemption_notice);
   };
   return fields(a) == fields(b) &&
          std::equal(a.tasks.begin(), a.tasks.end(), b.tasks.begin(), b.tasks.end(),
@@ -100,7 +100,7 @@
   EXPECT_EQ(r.epoch, 1U);
   EXPECT_EQ(r.sequence, 88U);
   EXPECT_EQ(r.token, 41U);
-  EXPECT_EQ(r.notice, Seconds(7.5));
+  EXPECT_EQ(r.preemption_notice, Seconds(7.5));
   ASSERT_EQ(r.tasks.size(), 2U);
   EXPECT_EQ(r.tasks[0].state, TaskState::Running);
   EXPECT_EQ(r.tasks[0].attempt, 2U);
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -420,7 +420,7 @@
 
 // The leader stands still for longer than a lease; its grant lasts longer still. A majority of its
 // siblings does not hear it: one of them takes over while the workers still have time to find it.
-// Guard: Node::check_leader_silence.
+// Guard: Node::check_leader_liveness.
 TEST(SilentLeader, IsReplacedBeforeTheLeasesRunOut) {
   for (const std::uint64_t seed : {71, 72, 73}) {
     Scenario s(seed, 3, 5);
@@ -567,8 +567,9 @@
 }
 
 // All machines are gone as a leader ends: each next one heard no worker for a few seconds and
-// handed over, long before the leases of those on the roster had run out, and so for ever: nothing
-// was started any more. Guard: Node::check_leadership asks whether the sibling hears workers.
+// handed over, long before the leases of those on the machine registry had run out, and so for
+// ever: nothing was started any more. Guard: Node::check_leadership asks whether the sibling hears
+// workers.
 TEST(Leaders, DoNotHandOverForEverWhenAllMachinesAreGone) {
   Scenario s(61, 3, 5);
   for (int i = 0; i < 6; ++i) s.submit(array(8, 300));
@@ -660,9 +661,9 @@
   EXPECT_TRUE(s.checker.broken.empty()) << s.checker.text();
 }
 
-// The leader's first write of the roster gets no answer and is carried out after a newer one, which
-// names more machines. Undone, the next leader would not wait for a machine that cannot be asked.
-// Guard: Fleet::write_own, the versions of the leader's own keys.
+// The leader's first write of the machine registry gets no answer and is carried out after a newer
+// one, which names more machines. Undone, the next leader would not wait for a machine that cannot
+// be asked. Guard: Fleet::write_own, the versions of the leader's own keys.
 TEST(LateTransactions, DoNotUndoANewerRoster) {
   Scenario s(65, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
   std::string held;
--- a/tests/troubles_test.cpp
+++ b/tests/troubles_test.cpp
@@ -128,15 +128,15 @@
   machines.apply(report(1, 5, {task(7)}), {}, 0, events);
   auto& m = machines.at("n-1");
   machines.clear(m, events);
-  m.silent = true;
+  m.lease_expired = true;
   m.first_valid_epoch = m.epoch + 1;
   events.clear();
   EXPECT_EQ(machines.apply(report(1, 6, {task(7)}), {}, 0, events), fleet::Machines::Order::Late);
   EXPECT_TRUE(events.empty());
   EXPECT_TRUE(m.attempts.empty());
-  EXPECT_TRUE(m.silent);
+  EXPECT_TRUE(m.lease_expired);
   EXPECT_EQ(machines.apply(report(2, 7), {}, 0, events), fleet::Machines::Order::New);
-  EXPECT_FALSE(m.silent);
+  EXPECT_FALSE(m.lease_expired);
 }
 
 // An answer with a start may be under way while a direct command is answered: the task missing from
