--- a/src/autoscale/autoscale.cpp
+++ b/src/autoscale/autoscale.cpp
@@ -55,7 +55,7 @@
   runtime_.after(kTick, [self = weak_from_this()] {
     if (const auto a = self.lock()) a->tick();
   });
-  if (!duties_.entitled() || !fleet_->recovered() || !catalog_.known()) return;
+  if (!duties_.lease_valid() || !fleet_->recovered() || !catalog_.known()) return;
   list_machines();
   settle_machines();
   return_policy_.update(runtime_.now());
@@ -233,7 +233,7 @@
     const auto a = self.lock();
     if (!a || a->stopped_) return;
     a->rent_due_ = false;
-    if (a->duties_.entitled()) a->rent();
+    if (a->duties_.lease_valid()) a->rent();
   });
 }
 
--- a/src/base/runtime.hpp
+++ b/src/base/runtime.hpp
@@ -40,7 +40,7 @@
   // Sends one request; the callback runs exactly once, with status 0 after the timeout.
   virtual void http(const std::string& address, HttpRequest request, Duration timeout,
                     HttpCallback done) = 0;
-  // Sends a hint to a sibling; may be lost.
+  // Sends a gossip message to a peer; may be lost.
   virtual void send_peer(const std::string& node, std::string message) = 0;
 };
 
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -16,7 +16,7 @@
 // When a leader falls silent the workers should have found its successor before their leases run
 // out. Where leases are too short for that in any case, a long grant outlasts more outages, and a
 // majority replaces the leader sooner.
-constexpr Duration kShortestGrant = 10s, kLongestGrant = 20s;
+constexpr Duration kMinLeaderTtl = 10s, kMaxLeaderTtl = 20s;
 
 [[noreturn]] void fail(const std::string& field, const std::string& why) {
   throw SettingsError("settings: " + field + ": " + why);
@@ -96,8 +96,8 @@
   s.api_address = address(root, "", "api_addr");
   s.peer_address = address(root, "", "cluster_listen");
   each_table(root, "", "siblings", [&](const toml::table& t) {
-    s.siblings.push_back({text(t, "siblings.", "node"), text(t, "siblings.", "zone"),
-                          address(t, "siblings.", "address")});
+    s.peers.push_back({text(t, "siblings.", "node"), text(t, "siblings.", "zone"),
+                       address(t, "siblings.", "address")});
   });
   const auto& external = section(root, "", "external");
   s.cloud_address = address(external, "external.", "cloud");
@@ -227,7 +227,7 @@
   const Duration room = max_view_staleness(s);
   const Duration in_time = s.lease * 3 / 5;
   return std::min(room,
-                  in_time >= kShortestGrant ? std::min(in_time, kLongestGrant) : kLongestGrant);
+                  in_time >= kMinLeaderTtl ? std::min(in_time, kMaxLeaderTtl) : kMaxLeaderTtl);
 }
 
 }  // namespace asterstair
--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -16,7 +16,7 @@
   double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
 };
 
-struct Sibling {
+struct Peer {
   std::string node, zone, address;
 };
 
@@ -28,7 +28,7 @@
 
 struct Settings {
   std::string node, zone, api_address, peer_address;
-  std::vector<Sibling> siblings;
+  std::vector<Peer> peers;
   std::string cloud_address, state_address;
   std::vector<std::string> zones;
   std::map<std::string, TeamSettings> teams;
@@ -42,7 +42,7 @@
   double cpu_share = 1;  // of one core
   std::size_t memory_bytes = 0;
 
-  std::size_t nodes() const { return siblings.size() + 1; }
+  std::size_t nodes() const { return peers.size() + 1; }
 };
 
 // Names the offending field in one line.
@@ -67,7 +67,7 @@
 Duration max_view_staleness(const Settings& settings);
 
 // How long the leader's grant lives. Long enough to ride out ordinary trouble of the state
-// service, short enough that a leader cut off from the store loses its entitlement, and its
+// service, short enough that a leader cut off from the store loses its lease validity, and its
 // workers their leases, before a cancellation it could not see must have taken effect.
 Duration leader_ttl(const Settings& settings);
 
--- a/src/duties/authority.hpp
+++ b/src/duties/authority.hpp
@@ -12,7 +12,7 @@
  public:
   virtual ~Authority() = default;
   // Whether orders may be sent to the cloud now.
-  virtual bool entitled() const = 0;
+  virtual bool lease_valid() const = 0;
   // Whether an operator has asked that nothing new is begun.
   virtual bool paused() const = 0;
   // The fencing token; operations are named after it.
--- a/src/duties/machine_duties.cpp
+++ b/src/duties/machine_duties.cpp
@@ -13,7 +13,7 @@
   out.node = settings.node;
   out.ttl = leader_ttl(settings);
   // What an earlier holder may still do stands in the ledger: waiting would gain nothing.
-  out.held_by_another = lease::HeldByAnother::TakeOver;
+  out.contention_policy = lease::ContentionPolicy::TakeOver;
   // Only the leader: a leader that has been replaced and does not know it would take the lease
   // back.
   out.claim_conditions = [&election] { return std::vector{election.guard()}; };
@@ -58,8 +58,8 @@
   if (lease_) lease_->withdraw();
 }
 
-bool MachineDuties::entitled() const {
-  return election_.entitled() && (!lease_ || lease_->entitled());
+bool MachineDuties::lease_valid() const {
+  return election_.lease_valid() && (!lease_ || lease_->lease_valid());
 }
 
 std::vector<wire::Condition> MachineDuties::guards() const {
@@ -117,7 +117,7 @@
 }
 
 void MachineDuties::show_orphans(const std::vector<Orphan>& orphans) {
-  if (!lease_ || !entitled() || orphans == shown_orphans_) return;
+  if (!lease_ || !lease_valid() || orphans == shown_orphans_) return;
   shown_orphans_ = orphans;
   wire::Txn txn;
   txn.conditions = guards();
--- a/src/duties/machine_duties.hpp
+++ b/src/duties/machine_duties.hpp
@@ -34,7 +34,7 @@
   // For operators to look at; written when it has changed.
   void show_orphans(const std::vector<Orphan>& orphans);
 
-  bool entitled() const override;
+  bool lease_valid() const override;
   bool paused() const override { return control_.paused; }
   std::uint64_t token() const override { return lease_ ? lease_->token() : election_.token(); }
   bool offers_token() const override { return lease_.has_value(); }
--- a/src/duties/machine_operations.cpp
+++ b/src/duties/machine_operations.cpp
@@ -7,7 +7,8 @@
 namespace asterstair::duties {
 namespace {
 
-constexpr auto kSendAgain = 500ms;  // not entitled, or no call of the cloud's limit left
+constexpr auto kSendAgain =
+    500ms;  // not holding a valid lease, or no call of the cloud's limit left
 constexpr auto kRepeatRental = 2s;  // an unanswered one, with its name
 constexpr auto kRepeatReturn = 1s;
 // Confirmed returns are kept for as long as the cloud's lists may show the machines: a new holder
@@ -63,7 +64,7 @@
 }
 
 bool MachineOperations::may_begin() const {
-  return loaded_ && inherited_.empty() && authority_.entitled() && !authority_.paused() &&
+  return loaded_ && inherited_.empty() && authority_.lease_valid() && !authority_.paused() &&
          ledger_->has_room();
 }
 
@@ -120,7 +121,7 @@
   // A holder that has been replaced orders nothing. That it may still believe to be in charge, or
   // that the packet leaves late, does no harm: the order stands in the ledger, and its successor
   // completes it under the same name.
-  if (!authority_.entitled() || (!counted && !cloud_.may_call())) {
+  if (!authority_.lease_valid() || (!counted && !cloud_.may_call())) {
     send_later(name, kSendAgain);
     return;
   }
--- a/src/duties/stored_ledger.cpp
+++ b/src/duties/stored_ledger.cpp
@@ -205,7 +205,7 @@
 // that has gone by.
 void StoredLedger::sweep() {
   sweep_later();
-  if (!authority_.entitled()) return;
+  if (!authority_.lease_valid()) return;
   std::ptrdiff_t settled = 0;
   for (auto& [name, entry] : entries_) {
     if (entry.settled_under == 0) continue;
--- a/src/fleet/durable.cpp
+++ b/src/fleet/durable.cpp
@@ -181,7 +181,7 @@
 }
 
 void Fleet::finish(Job& job) {
-  if (job.ending || !election_.entitled()) return;
+  if (job.ending || !election_.lease_valid()) return;
   job.ending = true;
   auto txn =
       store::end_job(*job.spec, job.version, false, settings_.value_bytes, settings_.txn_ops);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -31,7 +31,7 @@
       watch_wait_(std::min<Duration>(kWatchWait, max_view_staleness_ / kWatchesInLimit)),
       token_(election.token()),
       elected_at_(runtime.now()),
-      earlier_leaders_end_(election.earlier_leaders_end()),
+      previous_leaders_expiry_(election.previous_leaders_expiry()),
       last_heartbeat_at_(runtime.now()) {}
 
 void Fleet::start() {
@@ -53,7 +53,7 @@
   check_gangs();
   for (auto& [id, m] : machines_.all()) on_preemption_notice(m);
   release_plans();
-  if (!election_.entitled()) return;
+  if (!election_.lease_valid()) return;
   write_registry();
   begin_jobs();
   const auto now = runtime_.now();
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -61,7 +61,7 @@
   bool view_is_fresh() const {
     return recovered_ && runtime_.now() - view_requested_at_ < max_view_staleness_;
   }
-  // A sibling, or this node, has confirmed the cancellation: the watch may be late, or cut off.
+  // A peer, or this node, has confirmed the cancellation: the watch may be late, or cut off.
   void cancelled(const std::string& job);
   // While others may confirm cancellations that this node cannot see, nothing new is started.
   void suspend_launches(bool hold) { launches_suspended_ = hold; }
@@ -204,7 +204,7 @@
 
   Duration max_view_staleness_, watch_wait_;
   std::uint64_t token_ = 0, attempts_ = 0;
-  TimePoint elected_at_{}, earlier_leaders_end_{}, last_heartbeat_at_{}, next_plan_{},
+  TimePoint elected_at_{}, previous_leaders_expiry_{}, last_heartbeat_at_{}, next_plan_{},
       next_preempt_{}, summed_up_at_{};
   TimePoint view_requested_at_{};  // of the newest view that has arrived
   bool registry_loaded_ = false, open_returns_known_ = false;
@@ -213,7 +213,7 @@
   bool launches_suspended_ = false, any_heartbeat_ = false;
   std::deque<Direct> directs_;
   std::size_t directs_in_flight_ = 0;
-  // Cancelled, as siblings say: the watch may yet tell of them as live.
+  // Cancelled, as peers say: the watch may yet tell of them as live.
   std::set<std::string> cancelled_;
   std::deque<std::string> cancelled_order_;
   std::uint64_t live_revision_ = 0;
--- a/src/fleet/gangs.cpp
+++ b/src/fleet/gangs.cpp
@@ -31,7 +31,7 @@
 }
 
 void Fleet::send_direct(const DirectStops& stops, bool read_answers) {
-  if (stops.empty() || !election_.entitled()) return;
+  if (stops.empty() || !election_.lease_valid()) return;
   std::map<std::string, std::vector<Command>> by_machine;
   for (const auto& [machine, c] : stops) by_machine[machine].push_back(c);
   for (auto& [id, commands] : by_machine) {
@@ -46,7 +46,7 @@
 void Fleet::pump_direct() {
   const auto most_in_flight =
       std::max(kLeastDirectsInFlight, settings_.max_connections / kSocketsPerDirect);
-  while (!directs_.empty() && directs_in_flight_ < most_in_flight && election_.entitled()) {
+  while (!directs_.empty() && directs_in_flight_ < most_in_flight && election_.lease_valid()) {
     const Direct d = std::move(directs_.front());
     directs_.pop_front();
     const Machine* m = machines_.find(d.machine);
--- a/src/fleet/loading.cpp
+++ b/src/fleet/loading.cpp
@@ -129,7 +129,7 @@
     if (returning_.count(id) != 0) m.service = Machine::Service::Returning;
     if (!m.reconciled && !m.lease_expired) pending_reconciliation_.insert(id);
     // No earlier leader answers after that; its answers renewed no later.
-    if (m.last_answered == TimePoint{}) m.last_answered = earlier_leaders_end_;
+    if (m.last_answered == TimePoint{}) m.last_answered = previous_leaders_expiry_;
   }
   registry_.push_back(std::move(chunk));
 }
--- a/src/fleet/moving.cpp
+++ b/src/fleet/moving.cpp
@@ -146,7 +146,7 @@
 }
 
 void Fleet::consolidate(const std::function<bool(const Machine&)>& spare) {
-  if (!reconciled_ || !election_.entitled() || !demand_.empty()) return;
+  if (!reconciled_ || !election_.lease_valid() || !demand_.empty()) return;
   auto s = snapshot();
   if (!s.jobs.empty()) return;
   Consolidation consolidation(s.machines);
--- a/src/fleet/placement.cpp
+++ b/src/fleet/placement.cpp
@@ -98,7 +98,7 @@
 }
 
 void Fleet::plan() {
-  if (!recovered_ || !election_.entitled() || !view_is_fresh() || !catalog_.known()) return;
+  if (!recovered_ || !election_.lease_valid() || !view_is_fresh() || !catalog_.known()) return;
   plan_wanted_ = false;
   const auto now = runtime_.now();
   // Most ticks of a fleet that has enough room find nothing to place: no look at the machines then.
--- a/src/fleet/reports.cpp
+++ b/src/fleet/reports.cpp
@@ -69,9 +69,9 @@
       return {503, wire::encode_error("answers are lost")};
     if (!m.first_answered) m.first_answered = now;
     m.latest_heartbeat = age;
-    // Until it has seen this leader's token, an earlier leader that is entitled still may renew its
-    // lease as well.
-    m.last_answered = r.token == token_ ? now : std::max(now, earlier_leaders_end_);
+    // Until it has seen this leader's token, an earlier leader that is holding a valid lease still
+    // may renew its lease as well.
+    m.last_answered = r.token == token_ ? now : std::max(now, previous_leaders_expiry_);
   }
   if (r.token != token_) {
     // Sent before the worker knew this leader: what it shows may be older than the last leader's
--- a/src/leader/election.cpp
+++ b/src/leader/election.cpp
@@ -10,14 +10,14 @@
   out.key = store::kLeaderKey;
   out.node = settings.node;
   out.ttl = leader_ttl(settings);
-  out.held_by_another = lease::HeldByAnother::Wait;
-  out.bound_note_key = store::kEarlierLeadersEndedKey;
+  out.contention_policy = lease::ContentionPolicy::Wait;
+  out.expiry_record_key = store::kPreviousLeadersExpiredKey;
   return out;
 }
 
 lease::Events lease_events(Election::Events events) {
-  return {[elected = std::move(events.elected)](std::uint64_t token, bool contested) {
-            log::info("leading with token {}{}", token, contested ? ", contested" : "");
+  return {[elected = std::move(events.elected)](std::uint64_t token, bool forced) {
+            log::info("leading with token {}{}", token, forced ? ", forced" : "");
             elected(token);
           },
           std::move(events.lost)};
--- a/src/leader/election.hpp
+++ b/src/leader/election.hpp
@@ -21,24 +21,24 @@
   Election(Runtime& runtime, store::Store& store, const Settings& settings, Events events);
   void start() { lease_.campaign(); }
 
-  // Gives leadership up for good: nothing is done under this token any more. A sibling that hears
-  // of it may claim the key at once, see claim_resigned().
-  void resign() { lease_.resign(); }
-  // A sibling has resigned this token, so the key at that version may be claimed.
-  void claim_resigned(std::uint64_t token) { lease_.claim_resigned(token); }
+  // Gives leadership up for good: nothing is done under this token any more. A peer that hears
+  // of it may claim the key at once, see claim_after_step_down().
+  void step_down() { lease_.step_down(); }
+  // A peer has resigned this token, so the key at that version may be claimed.
+  void claim_after_step_down(std::uint64_t token) { lease_.claim_after_step_down(token); }
   // The leader is not heard by a majority of the nodes: claims its key without waiting for its
-  // grant to end. It may be entitled still, see earlier_leaders_end().
+  // grant to end. It may be holding a valid lease still, see previous_leaders_expiry().
   void force_failover() { lease_.force_claim(); }
-  // A sibling says that it leads with a higher token.
-  void superseded_by(std::uint64_t token) { lease_.superseded_by(token); }
+  // A peer says that it leads with a higher token.
+  void on_higher_token(std::uint64_t token) { lease_.on_higher_token(token); }
 
   bool leading() const { return lease_.held(); }
-  bool entitled() const { return lease_.entitled(); }
+  bool lease_valid() const { return lease_.lease_valid(); }
   std::uint64_t token() const { return lease_.token(); }
   // The latest token that this node has resigned; 0: none.
-  std::uint64_t resigned() const { return lease_.resigned(); }
-  // Until when, at the latest, leaders before this node's term may act on their entitlement.
-  TimePoint earlier_leaders_end() const { return lease_.earlier_holders_end(); }
+  std::uint64_t stepped_down_token() const { return lease_.stepped_down_token(); }
+  // Until when, at the latest, leaders before this node's term may act on their lease validity.
+  TimePoint previous_leaders_expiry() const { return lease_.previous_holders_expiry(); }
   // The condition every write of the leader carries.
   wire::Condition guard() const { return lease_.guard(); }
   // Last known leader, this node included; empty if unknown.
--- a/src/lease/acquisition.cpp
+++ b/src/lease/acquisition.cpp
@@ -12,7 +12,7 @@
 constexpr auto kCheckRetry = 400ms;
 constexpr auto kWatchWait = 10s;
 // An attempt to claim the record of a silent holder is repeated no sooner.
-constexpr auto kContestEvery = 3s;
+constexpr auto kForcedClaimInterval = 3s;
 
 }  // namespace
 
@@ -65,21 +65,21 @@
     // Nobody's as far as can be told: followed until it changes or vanishes, never overwritten.
     log::error("lease record {} is malformed: {}", item.key, e.what());
     record = {};
-    record.contested = true;
+    record.forced = true;
   }
   on_record(record, item, revision);
 }
 
 void Lease::on_record(const store::HolderRecord& record, const wire::Item& item,
                       std::uint64_t revision) {
-  if (resigned_by_sibling_ != 0 && item.version == resigned_by_sibling_) {
-    claim_after(item.version, record.contested);
+  if (peer_stepped_down_token_ != 0 && item.version == peer_stepped_down_token_) {
+    claim_after(item.version, record.forced);
     return;
   }
   if (record.node != options_.node) {
     holder_ = record.node;
     holder_version_ = item.version;
-    if (options_.held_by_another == HeldByAnother::TakeOver && !holder_.empty()) {
+    if (options_.contention_policy == ContentionPolicy::TakeOver && !holder_.empty()) {
       claim(item.version, true);
     } else {
       follow(revision);
@@ -87,13 +87,13 @@
     return;
   }
   if (pending_.id != 0 && record.claim == pending_.id) {
-    acquire(item.version, record.contested);
+    acquire(item.version, record.forced);
   } else if (runtime_.now() < no_claim_before_) {
     check_later(kCheckRetry);
   } else {
     // An earlier process of this node held it, and has ended: a node runs one process. The claim
     // writes the key, so late transactions of that process fail.
-    claim_after(item.version, record.contested);
+    claim_after(item.version, record.forced);
   }
 }
 
@@ -113,58 +113,58 @@
 }
 
 // Claims from the term with this version, whose holder has resigned or ended. If that term was
-// contested, holders before it may be entitled still, unless its holder has noted that they are
-// not.
-void Lease::claim_after(std::uint64_t version, bool contested) {
-  if (!contested || options_.bound_note_key.empty()) {
-    claim(version, contested);
+// forced, holders before it may be holding a valid lease still, unless its holder has noted that
+// they are not.
+void Lease::claim_after(std::uint64_t version, bool forced) {
+  if (!forced || options_.expiry_record_key.empty()) {
+    claim(version, forced);
     return;
   }
   const auto generation = ++generation_;
-  store_.get_now(options_.bound_note_key, [this, generation, version](const store::ReadResult& r) {
-    if (generation != generation_) return;
-    bool ended = false;
-    if (r.outcome == store::ReadOutcome::Found) {
-      try {
-        ended = store::decode_earlier_holders_ended(*r.item.value) == version;
-      } catch (const wire::BadMessage& e) {
-        log::error("{} is malformed: {}", options_.bound_note_key, e.what());
-      }
-    }
-    claim(version, !ended);
-  });
+  store_.get_now(options_.expiry_record_key,
+                 [this, generation, version](const store::ReadResult& r) {
+                   if (generation != generation_) return;
+                   bool ended = false;
+                   if (r.outcome == store::ReadOutcome::Found) {
+                     try {
+                       ended = store::decode_previous_holders_expired(*r.item.value) == version;
+                     } catch (const wire::BadMessage& e) {
+                       log::error("{} is malformed: {}", options_.expiry_record_key, e.what());
+                     }
+                   }
+                   claim(version, !ended);
+                 });
 }
 
-// `contested`: whether a holder before this claim may be entitled still.
-void Lease::claim(std::uint64_t expected_version, bool contested) {
+// `forced`: whether a holder before this claim may be holding a valid lease still.
+void Lease::claim(std::uint64_t expected_version, bool forced) {
   const auto generation = ++generation_;
   const auto sent = runtime_.now();
-  store_.create_grant(options_.ttl, [this, generation, sent, expected_version,
-                                     contested](std::optional<std::uint64_t> grant) {
+  store_.create_store_lease(options_.ttl, [this, generation, sent, expected_version,
+                                           forced](std::optional<std::uint64_t> store_lease) {
     if (generation != generation_) return;
-    if (!grant) {
+    if (!store_lease) {
       check_later(kCheckRetry);
       return;
     }
-    pending_ = {runtime_.rng()() >> 1U, *grant, sent};
-    write_claim(expected_version, contested);
+    pending_ = {runtime_.rng()() >> 1U, *store_lease, sent};
+    write_claim(expected_version, forced);
   });
 }
 
-void Lease::write_claim(std::uint64_t expected_version, bool contested) {
+void Lease::write_claim(std::uint64_t expected_version, bool forced) {
   wire::Txn txn;
   if (options_.claim_conditions) txn.conditions = options_.claim_conditions();
   txn.conditions.push_back({options_.key, expected_version});
-  txn.changes.push_back({options_.key,
-                         store::encode_holder({options_.node, pending_.id, contested}),
-                         pending_.grant});
+  txn.changes.push_back({options_.key, store::encode_holder({options_.node, pending_.id, forced}),
+                         pending_.store_lease});
   store_.write(std::move(txn), store::Urgency::User,
-               [this, generation = generation_, contested](const store::WriteResult& r) {
+               [this, generation = generation_, forced](const store::WriteResult& r) {
                  if (generation != generation_) return;
                  if (r.outcome == store::WriteOutcome::Committed) {
-                   acquire(r.revision, contested);
+                   acquire(r.revision, forced);
                  } else if (r.outcome == store::WriteOutcome::Conflict) {
-                   store_.drop_grant(pending_.grant);
+                   store_.revoke_store_lease(pending_.store_lease);
                    if (options_.claim_conditions) {
                      check_later(kCheckRetry);  // they may be what does not hold
                    } else {
@@ -176,9 +176,9 @@
                });
 }
 
-void Lease::claim_resigned(std::uint64_t token) {
-  if (held() || token <= resigned_by_sibling_) return;
-  resigned_by_sibling_ = token;
+void Lease::claim_after_step_down(std::uint64_t token) {
+  if (held() || token <= peer_stepped_down_token_) return;
+  peer_stepped_down_token_ = token;
   holder_.clear();
   holder_version_ = 0;
   check();
@@ -186,8 +186,8 @@
 
 void Lease::force_claim() {
   const auto now = runtime_.now();
-  if (held() || holder_version_ == 0 || now < next_contest_ || now < no_claim_before_) return;
-  next_contest_ = now + kContestEvery;
+  if (held() || holder_version_ == 0 || now < next_forced_claim_ || now < no_claim_before_) return;
+  next_forced_claim_ = now + kForcedClaimInterval;
   log::info("{} has fallen silent; its lease {} is claimed", holder_, options_.key);
   claim(holder_version_, true);
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -24,7 +24,7 @@
   net::LoopRuntime runtime(settings);
   Node node(runtime, settings, features);
   net::HttpServer::Limits limits;
-  // The rest is for the node's own connections: state service, cloud, siblings.
+  // The rest is for the node's own connections: state service, cloud, peers.
   limits.connections = settings.max_connections * 13 / 16;
   limits.kept = limits.connections * 7 / 8;
   limits.buffered = std::max(kLeastBuffered, settings.memory_bytes / kBufferedPartOfMemory);
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -48,7 +48,7 @@
 
 PeerLink::PeerLink(uv_loop_t* loop, const Settings& settings)
     : loop_(loop), address_(settings.peer_address) {
-  for (const auto& s : settings.siblings) {
+  for (const auto& s : settings.peers) {
     auto out = std::make_shared<Outgoing>();
     out->address = s.address;
     outgoing_[s.node] = std::move(out);
@@ -87,7 +87,7 @@
     close(c);
     return;
   }
-  // Connections of siblings that died silently make room for new ones.
+  // Connections of peers that died silently make room for new ones.
   if (incoming_.size() >= kMostIncoming) close(*incoming_.begin());
   incoming_.insert(c);
   uv_read_start(
@@ -174,7 +174,7 @@
   if (out.socket == nullptr) {
     if (out.last_try != TimePoint{} && now - out.last_try < kReconnectAfter) return;
     open(out);
-    return;  // hints repeat; the next one goes out once the connection stands
+    return;  // gossip repeat; the next one goes out once the connection stands
   }
   if (!out.socket->connected || out.queued + message.size() > kMostQueued) return;
   auto* w = new Outgoing::Write;
--- a/src/net/peer_link.hpp
+++ b/src/net/peer_link.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Messages between the nodes: length-framed msgpack over TCP, hints only. Each node keeps one
-// outgoing connection to every sibling; what cannot be sent is dropped.
+// Messages between the nodes: length-framed msgpack over TCP, gossip only. Each node keeps one
+// outgoing connection to every peer; what cannot be sent is dropped.
 
 #include <uv.h>
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -9,10 +9,11 @@
 namespace asterstair {
 namespace {
 
-constexpr auto kHintsEvery = 1s;
+constexpr auto kGossipInterval = 1s;
 constexpr auto kStoreAnswerWindow = 3s;
-// A leader that a majority has not heard for so long is replaced. Hints come every kHintsEvery, and
-// a worker that gets no answer looks for another node after 4 s: by then there should be one.
+// A leader that a majority has not heard for so long is replaced. Gossip messages come every
+// kGossipInterval, and a worker that gets no answer looks for another node after 4 s: by then there
+// should be one.
 constexpr auto kLeaderSuspectTimeout = 4500ms;
 constexpr auto kLeaderCheckInterval = 500ms;
 constexpr auto kTypesEvery = 60s, kTypesRetry = 2s;
@@ -20,9 +21,9 @@
 constexpr auto kStoreLost = 4s;
 // Of a message between nodes, for the counts that users are shown.
 constexpr std::size_t kCountsBytes = wire::kLargestPeerMessage / 2;
-// A sibling that the state service answers says so in a hint made this long after a failure here:
-// it asks every kProbeEvery at the least, and hints come every kHintsEvery.
-constexpr auto kSiblingKnows = 2200ms;
+// A peer that the state service answers says so in a gossip message made this long after a failure
+// here: it asks every kProbeEvery at the least, and gossip come every kGossipInterval.
+constexpr auto kPeerDetectionDelay = 2200ms;
 constexpr auto kStoreQuiet = 2500ms;  // longer without an answer counts as a failure
 
 HttpResponse failure(int status, std::string_view message) {
@@ -40,15 +41,15 @@
       election_(runtime_, store_, settings_,
                 {[this](std::uint64_t) { elected(); }, [this] { lost(); }}),
       machine_duties_(runtime_, store_, cloud_, settings_, election_, features.machine_duties,
-                      [this] { election_.resign(); }),
-      siblings_(settings_.siblings, runtime_.now()) {
+                      [this] { election_.step_down(); }),
+      peers_(settings_.peers, runtime_.now()) {
   frontend_.on_cancelled([this](const std::string& job) { cancelled(job); });
 }
 
 void Node::start() {
   election_.start();
   learn_types();
-  share_hints();
+  gossip();
   probe_store();
   check_leader_liveness();
 }
@@ -60,7 +61,7 @@
                                                         settings_, catalog_, fleet_);
   fleet_->start();
   autoscaler_->start();
-  send_hint(hint());
+  send_gossip(gossip_message());
 }
 
 void Node::lost() {
@@ -101,43 +102,43 @@
   });
 }
 
-wire::PeerHint Node::hint() const {
-  wire::PeerHint hint;
-  hint.node = settings_.node;
-  hint.leader = election_.leader();
-  hint.token = election_.token();
-  hint.sees_store = !store_.seems_down();
+wire::GossipMessage Node::gossip_message() const {
+  wire::GossipMessage message;
+  message.node = settings_.node;
+  message.leader = election_.leader();
+  message.token = election_.token();
+  message.store_reachable = !store_.seems_down();
   const auto age_ms = [this](TimePoint at) {
     if (at == TimePoint{}) return wire::kUnknownAge;
     const auto age = std::chrono::duration_cast<milliseconds>(runtime_.now() - at);
     return static_cast<std::uint32_t>(std::min<std::int64_t>(age.count(), wire::kUnknownAge));
   };
-  hint.store_age_ms = age_ms(store_.last_answer());
-  hint.heartbeat_age_ms = age_ms(last_heartbeat_);
-  hint.resigned = election_.resigned();
-  if (!hint.leader.empty() && !election_.leading()) {
-    hint.leader_age_ms = age_ms(siblings_.last_seen(hint.leader));
+  message.store_age_ms = age_ms(store_.last_answer());
+  message.heartbeat_age_ms = age_ms(last_heartbeat_);
+  message.stepped_down_token = election_.stepped_down_token();
+  if (!message.leader.empty() && !election_.leading()) {
+    message.leader_age_ms = age_ms(peers_.last_seen(message.leader));
   }
-  return hint;
+  return message;
 }
 
-void Node::send_hint(const wire::PeerHint& hint) {
-  const std::string message = wire::encode_hint(hint);
-  for (const auto& [node, status] : siblings_.all()) runtime_.send_peer(node, message);
+void Node::send_gossip(const wire::GossipMessage& message) {
+  const std::string bytes = wire::encode_gossip(message);
+  for (const auto& [node, status] : peers_.all()) runtime_.send_peer(node, bytes);
 }
 
-void Node::share_hints() {
-  runtime_.after(kHintsEvery, [this] { share_hints(); });
-  auto hint = this->hint();
-  hint.cancelled = cancellations_.jobs(runtime_.now());
+void Node::gossip() {
+  runtime_.after(kGossipInterval, [this] { gossip(); });
+  auto message = this->gossip_message();
+  message.cancelled = cancellations_.jobs(runtime_.now());
   if (fleet_) {
     std::unordered_map<std::string, frontend::Counts> counts;
     std::size_t bytes = 0;
     for (const auto& c : fleet_->counts()) {
       counts[c.job] = {c.done, c.running};
       bytes += c.job.size() + wire::kPeerEntryOverhead;
-      // Counts serve only for display: the siblings show the others as queued.
-      if (bytes <= kCountsBytes) hint.counts.push_back({c.job, c.done, c.running});
+      // Counts serve only for display: the peers show the others as queued.
+      if (bytes <= kCountsBytes) message.counts.push_back({c.job, c.done, c.running});
     }
     if (bytes > kCountsBytes && !counts_cut_told_) {
       counts_cut_told_ = true;
@@ -145,22 +146,22 @@
     }
     frontend_.set_counts(std::move(counts));
   }
-  send_hint(hint);
+  send_gossip(message);
   check_leadership();
 }
 
 // The leader may be the one node that the state service refuses: its watch would tell it nothing.
-// So whoever confirms a cancellation tells the siblings before the user.
+// So whoever confirms a cancellation tells the peers before the user.
 void Node::cancelled(const std::string& job) {
   if (fleet_) fleet_->cancelled(job);
   cancellations_.add(job, runtime_.now());
-  auto hint = this->hint();
-  hint.leader.clear();  // it brings no counts
-  hint.cancelled = {job};
-  send_hint(hint);
+  auto message = this->gossip_message();
+  message.leader.clear();  // it brings no counts
+  message.cancelled = {job};
+  send_gossip(message);
 }
 
-// Whether the state service fails this node, or has long been quiet, and not every sibling has said
+// Whether the state service fails this node, or has long been quiet, and not every peer has said
 // that it is the same for it: then others may confirm cancellations that cannot be seen here. In an
 // outage for all nobody confirms anything, and work goes on being started.
 bool Node::may_miss_cancellations() const {
@@ -170,16 +171,16 @@
     since = store_.last_answer();
   }
   if (since == TimePoint{}) return false;
-  const auto& siblings = siblings_.all();
-  return std::any_of(siblings.begin(), siblings.end(), [&](const auto& sibling) {
-    const SiblingTable::Status& s = sibling.second;
-    return !SiblingTable::recent(s, now) || s.last_seen < since + kSiblingKnows ||
+  const auto& peers = peers_.all();
+  return std::any_of(peers.begin(), peers.end(), [&](const auto& peer) {
+    const PeerTable::Status& s = peer.second;
+    return !PeerTable::recent(s, now) || s.last_seen < since + kPeerDetectionDelay ||
            s.store_last_answer > since;
   });
 }
 
 // A leader that has lost the state service or the workers, alone, would hold its grant while
-// nothing starts or leases run out. A sibling that is better off takes over as soon as it hears of
+// nothing starts or leases run out. A peer that is better off takes over as soon as it hears of
 // it.
 void Node::check_leadership() {
   if (!fleet_) return;
@@ -188,10 +189,10 @@
       store_.failing_since() != TimePoint{} && now - store_.failing_since() > kStoreLost;
   const bool workers_lost = fleet_->heartbeats_lost() && store_.answered_within(kStoreAnswerWindow);
   if (!store_lost && !workers_lost) return;
-  for (const auto& [node, s] : siblings_.all()) {
-    if (!SiblingTable::recent(s, now) || !s.sees_store) continue;
+  for (const auto& [node, s] : peers_.all()) {
+    if (!PeerTable::recent(s, now) || !s.store_reachable) continue;
     // Answered there after it first failed here: an outage would be the same for all, and must not
-    // cost the leader its entitlement.
+    // cost the leader its lease validity.
     const bool store_better = store_lost && s.store_last_answer > store_.failing_since();
     // One that has not heard a worker in all its term asks more: workers that it does not hear try
     // the others. Where nobody hears them all machines may be gone, and leaders would hand over for
@@ -201,7 +202,7 @@
     if (!store_better && !workers_better) continue;
     log::info("{} is better off: the {} here", node,
               store_better ? "state service does not answer" : "workers are not heard");
-    election_.resign();
+    election_.step_down();
     return;
   }
 }
@@ -213,27 +214,28 @@
   runtime_.after(kLeaderCheckInterval, [this] { check_leader_liveness(); });
   const std::string& leader = election_.leader();
   if (election_.leading() || leader.empty() || !store_.answered_within(kStoreAnswerWindow)) return;
-  if (siblings_.majority_suspects(leader, kLeaderSuspectTimeout, runtime_.now())) {
+  if (peers_.majority_suspects(leader, kLeaderSuspectTimeout, runtime_.now())) {
     election_.force_failover();
   }
 }
 
-void Node::peer_message(const std::string& message) {
-  const auto hint = wire::decode_hint(message);
-  if (!hint || !siblings_.update(*hint, runtime_.now())) return;
-  if (hint->resigned != 0) election_.claim_resigned(hint->resigned);
-  if (hint->leader == hint->node) election_.superseded_by(hint->token);
+void Node::peer_message(const std::string& bytes) {
+  const auto message = wire::decode_gossip(bytes);
+  if (!message || !peers_.update(*message, runtime_.now())) return;
+  if (message->stepped_down_token != 0)
+    election_.claim_after_step_down(message->stepped_down_token);
+  if (message->leader == message->node) election_.on_higher_token(message->token);
   if (fleet_) {
-    for (const auto& job : hint->cancelled) {
+    for (const auto& job : message->cancelled) {
       if (wire::valid_job_id(job)) fleet_->cancelled(job);
     }
   }
-  if (hint->leader == hint->node && hint->token >= hinted_token_) {
-    hinted_leader_ = hint->node;
-    hinted_token_ = hint->token;
+  if (message->leader == message->node && message->token >= gossiped_token_) {
+    gossiped_leader_ = message->node;
+    gossiped_token_ = message->token;
     if (!fleet_) {
       std::unordered_map<std::string, frontend::Counts> counts;
-      for (const auto& c : hint->counts) counts[c.job] = {c.done, c.running};
+      for (const auto& c : message->counts) counts[c.job] = {c.done, c.running};
       frontend_.set_counts(std::move(counts));
     }
   }
@@ -251,8 +253,8 @@
   // Alone without the state service: the others serve users better. When nobody has it, leaving
   // and rejoining the load balancer would only add to the outage.
   if (store_.seems_down()) {
-    for (const auto& [node, s] : siblings_.all()) {
-      if (s.sees_store && SiblingTable::recent(s, runtime_.now())) {
+    for (const auto& [node, s] : peers_.all()) {
+      if (s.store_reachable && PeerTable::recent(s, runtime_.now())) {
         return failure(503, "the state service answers other nodes only");
       }
     }
@@ -264,16 +266,16 @@
   last_heartbeat_ = runtime_.now();
   if (!election_.leading()) {
     std::string leader = election_.leader();
-    if (leader.empty()) leader = hinted_leader_;
+    if (leader.empty()) leader = gossiped_leader_;
     // One that has become unreachable is not recommended: each try of it costs a worker seconds of
     // its lease, and going round finds whoever takes over.
-    if (siblings_.is_unreachable(leader, runtime_.now())) leader.clear();
+    if (peers_.is_unreachable(leader, runtime_.now())) leader.clear();
     respond({421, wire::encode_not_leader(leader == settings_.node ? "" : leader)});
     return;
   }
   // Entitlement alone does not do: a touch may succeed again while the watch has not yet told what
   // was cancelled meanwhile.
-  if (!election_.entitled() || !fleet_ || !fleet_->view_is_fresh()) {
+  if (!election_.lease_valid() || !fleet_ || !fleet_->view_is_fresh()) {
     respond(failure(503, "not entitled to give commands at present"));
     return;
   }
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -15,8 +15,8 @@
 #include "fleet/fleet.hpp"
 #include "frontend/frontend.hpp"
 #include "leader/election.hpp"
+#include "node/peer_table.hpp"
 #include "node/recent_cancellations.hpp"
-#include "node/sibling_table.hpp"
 #include "store/store.hpp"
 #include "wire/peer.hpp"
 
@@ -34,9 +34,9 @@
  private:
   void elected();
   void lost();
-  void share_hints();
-  void send_hint(const wire::PeerHint& hint);
-  wire::PeerHint hint() const;
+  void gossip();
+  void send_gossip(const wire::GossipMessage& message);
+  wire::GossipMessage gossip_message() const;
   void cancelled(const std::string& job);
   bool may_miss_cancellations() const;
   void learn_types();
@@ -56,10 +56,10 @@
   duties::MachineDuties machine_duties_;
   std::shared_ptr<fleet::Fleet> fleet_;
   std::shared_ptr<autoscale::Autoscaler> autoscaler_;
-  SiblingTable siblings_;
+  PeerTable peers_;
   RecentCancellations cancellations_;
-  std::string hinted_leader_;
-  std::uint64_t hinted_token_ = 0;
+  std::string gossiped_leader_;
+  std::uint64_t gossiped_token_ = 0;
   TimePoint last_heartbeat_{};
   bool types_fresh_ = false;
   bool counts_cut_told_ = false;
--- a/src/node/sibling_table.hpp
+++ b/src/node/peer_table.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What the other controller nodes have last said of themselves. All of it is hints: a wrong or
+// What the other controller nodes have last said of themselves. All of it is gossip: a wrong or
 // missing entry may delay a decision or cause a needless change of leader, and breaks no rule.
 
 #include <map>
@@ -12,21 +12,21 @@
 
 namespace asterstair {
 
-class SiblingTable {
+class PeerTable {
  public:
   struct Status {
     TimePoint last_seen{};  // its last message
-    bool sees_store = false;
+    bool store_reachable = false;
     TimePoint store_last_answer{};  // when the state service last answered it
     TimePoint last_heartbeat{};     // when a worker's heartbeat last reached it
     std::string leader;             // whom it follows
     TimePoint leader_last_seen{};   // when it last heard from that leader
   };
 
-  SiblingTable(const std::vector<Sibling>& siblings, TimePoint started);
+  PeerTable(const std::vector<Peer>& peers, TimePoint started);
 
-  // Takes over what a hint says of its sender. False: it is not from a sibling.
-  bool update(const wire::PeerHint& hint, TimePoint now);
+  // Takes over what a gossip message says of its sender. False: it is not from a peer.
+  bool update(const wire::GossipMessage& message, TimePoint now);
 
   const std::map<std::string, Status>& all() const { return all_; }
   // Whether its last message is recent enough to rely on.
--- a/src/node/recent_cancellations.hpp
+++ b/src/node/recent_cancellations.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Cancellations that this node has confirmed lately. They are told to the siblings at once, and
+// Cancellations that this node has confirmed lately. They are told to the peers at once, and
 // again for as long as a message may be lost.
 
 #include <deque>
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -51,7 +51,7 @@
 }
 
 Json encode_holder(const HolderRecord& r) {
-  return {{"node", r.node}, {"claim", r.claim}, {"contested", r.contested}};
+  return {{"node", r.node}, {"claim", r.claim}, {"contested", r.forced}};
 }
 
 HolderRecord decode_holder(const Json& value) {
@@ -60,9 +60,9 @@
           wire::flag_or(value, "contested", false)};
 }
 
-Json encode_earlier_holders_ended(std::uint64_t token) { return {{"token", token}}; }
+Json encode_previous_holders_expired(std::uint64_t token) { return {{"token", token}}; }
 
-std::uint64_t decode_earlier_holders_ended(const Json& value) {
+std::uint64_t decode_previous_holders_expired(const Json& value) {
   return wire::integer(value, "token");
 }
 
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -24,9 +24,9 @@
 void require_known_form(const wire::Json& value);  // throws wire::BadMessage
 
 inline constexpr const char* kLeaderKey = "leader";
-// {"token": T}: all leaders before the term T have lost their entitlement. Written by the leader of
-// a contested term once that is so, see Lease::note_earlier_holders_ended().
-inline constexpr const char* kEarlierLeadersEndedKey = "earlier-leaders-ended";
+// {"token": T}: all leaders before the term T have lost their lease validity. Written by the leader
+// of a forced term once that is so, see Lease::record_previous_holders_expired().
+inline constexpr const char* kPreviousLeadersExpiredKey = "earlier-leaders-ended";
 inline constexpr const char* kLivePrefix = "live/";
 inline constexpr const char* kProgressPrefix = "progress/";
 inline constexpr const char* kMachineRegistryPrefix = "roster/";
@@ -55,13 +55,13 @@
 struct HolderRecord {
   std::string node;
   std::uint64_t claim = 0;
-  // Whether an earlier holder may have been entitled still when the key was claimed.
-  bool contested = false;
+  // Whether an earlier holder may have been holding a valid lease still when the key was claimed.
+  bool forced = false;
 };
 wire::Json encode_holder(const HolderRecord& record);
 HolderRecord decode_holder(const wire::Json& value);  // throws BadMessage, of newer forms too
-wire::Json encode_earlier_holders_ended(std::uint64_t token);
-std::uint64_t decode_earlier_holders_ended(
+wire::Json encode_previous_holders_expired(std::uint64_t token);
+std::uint64_t decode_previous_holders_expired(
     const wire::Json& value);  // the token; throws BadMessage
 
 // Progress: one bit a task, in hexadecimal, in chunks that fit a value.
--- a/src/store/results.hpp
+++ b/src/store/results.hpp
@@ -23,7 +23,7 @@
   std::uint64_t revision = 0;
 };
 
-enum class GrantOutcome { Alive, Gone, Unavailable };
+enum class StoreLeaseOutcome { Alive, Gone, Unavailable };
 
 struct WatchResult {
   enum class Outcome { Events, TooOld, Unavailable } outcome = Outcome::Unavailable;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -10,7 +10,7 @@
 constexpr double kRequestShare = 0.6, kRequestBurst = 0.5;
 constexpr double kChangeShare = 0.7;
 
-constexpr auto kGrantTimeout = 1500ms;
+constexpr auto kStoreLeaseTimeout = 1500ms;
 constexpr auto kListTimeout = 3s;
 constexpr std::size_t kPageItems = 200;
 constexpr int kListRefusalsBorne = 20;
@@ -36,7 +36,7 @@
       writes_(link_, change_budget(s), s.txn_ops, s.memory_bytes / kWritesPartOfMemory) {}
 
 void Store::get_now(const std::string& key, std::function<void(ReadResult)> done) {
-  link_.send_now(wire::get_request(key), kGrantTimeout,
+  link_.send_now(wire::get_request(key), kStoreLeaseTimeout,
                  [done = std::move(done)](const HttpResponse& r) { done(read_result(r)); });
 }
 
@@ -44,28 +44,31 @@
   list_all(link_, {prefix, kPageItems, kListTimeout, kListRefusalsBorne}, std::move(done));
 }
 
-void Store::create_grant(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done) {
-  link_.send_now(wire::grant_request(ttl), kGrantTimeout,
+void Store::create_store_lease(Duration ttl,
+                               std::function<void(std::optional<std::uint64_t>)> done) {
+  link_.send_now(wire::create_lease_request(ttl), kStoreLeaseTimeout,
                  [done = std::move(done)](const HttpResponse& r) {
                    if (r.status != 200) {
                      done(std::nullopt);
                      return;
                    }
-                   done(decode_or_log("grant", [&] { return wire::decode_grant(r.body); }));
+                   done(decode_or_log("grant", [&] { return wire::decode_store_lease(r.body); }));
                  });
 }
 
-void Store::touch_grant(std::uint64_t grant, std::function<void(GrantOutcome)> done) {
-  link_.send_now(wire::touch_request(grant), kGrantTimeout,
+void Store::renew_store_lease(std::uint64_t store_lease,
+                              std::function<void(StoreLeaseOutcome)> done) {
+  link_.send_now(wire::renew_lease_request(store_lease), kStoreLeaseTimeout,
                  [done = std::move(done)](const HttpResponse& r) {
-                   done(r.status == 200   ? GrantOutcome::Alive
-                        : r.status == 404 ? GrantOutcome::Gone
-                                          : GrantOutcome::Unavailable);
+                   done(r.status == 200   ? StoreLeaseOutcome::Alive
+                        : r.status == 404 ? StoreLeaseOutcome::Gone
+                                          : StoreLeaseOutcome::Unavailable);
                  });
 }
 
-void Store::drop_grant(std::uint64_t grant) {
-  link_.send_now(wire::drop_grant_request(grant), kGrantTimeout, [](const HttpResponse&) {});
+void Store::revoke_store_lease(std::uint64_t store_lease) {
+  link_.send_now(wire::revoke_lease_request(store_lease), kStoreLeaseTimeout,
+                 [](const HttpResponse&) {});
 }
 
 void Store::watch(const std::string& prefix, std::uint64_t after, Duration wait,
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -31,9 +31,9 @@
   void write(wire::Txn txn, Urgency urgency, std::function<void(WriteResult)> done) {
     writes_.write(std::move(txn), urgency, std::move(done));
   }
-  void create_grant(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done);
-  void touch_grant(std::uint64_t grant, std::function<void(GrantOutcome)> done);
-  void drop_grant(std::uint64_t grant);
+  void create_store_lease(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done);
+  void renew_store_lease(std::uint64_t store_lease, std::function<void(StoreLeaseOutcome)> done);
+  void revoke_store_lease(std::uint64_t store_lease);
   void watch(const std::string& prefix, std::uint64_t after, Duration wait,
              std::function<void(WatchResult)> done);
 
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Hints between the nodes, in msgpack. Nothing that a rule rests on travels here.
+// Gossip messages between the nodes, in msgpack. Nothing that a rule rests on travels here.
 
 #include <cstdint>
 #include <optional>
@@ -20,21 +20,21 @@
 
 inline constexpr std::uint32_t kUnknownAge = UINT32_MAX;
 
-struct PeerHint {
+struct GossipMessage {
   std::string node;
   std::string leader;  // empty: unknown
   std::uint64_t token = 0;
-  bool sees_store = false;
+  bool store_reachable = false;
   std::uint32_t store_age_ms = kUnknownAge;      // since the state service last answered it
-  std::uint64_t resigned = 0;                    // a token of its own that it has given up
+  std::uint64_t stepped_down_token = 0;                    // a token of its own that it has given up
   std::vector<PeerCounts> counts;                // only the leader's
   std::vector<std::string> cancelled;            // jobs whose cancellation it has confirmed lately
   std::uint32_t heartbeat_age_ms = kUnknownAge;  // since a worker's heartbeat last reached it
   std::uint32_t leader_age_ms = kUnknownAge;     // since it last heard from `leader`, another node
 };
 
-std::string encode_hint(const PeerHint& hint);
+std::string encode_gossip(const GossipMessage& message);
 // None: malformed, or of a version this program does not know.
-std::optional<PeerHint> decode_hint(const std::string& message);
+std::optional<GossipMessage> decode_gossip(const std::string& message);
 
 }  // namespace asterstair::wire
--- a/src/wire/state.cpp
+++ b/src/wire/state.cpp
@@ -29,7 +29,7 @@
   for (const auto& c : txn.changes) {
     if (c.value) {
       Json put = {{name::kPut, c.key}, {name::kValue, *c.value}};
-      if (c.grant) put[name::kGrant] = *c.grant;
+      if (c.store_lease) put[name::kStoreLease] = *c.store_lease;
       changes.push_back(std::move(put));
     } else {
       changes.push_back({{name::kDelete, c.key}});
@@ -39,17 +39,17 @@
           dump({{name::kIf, std::move(conditions)}, {name::kThen, std::move(changes)}})};
 }
 
-HttpRequest grant_request(Duration ttl) {
+HttpRequest create_lease_request(Duration ttl) {
   const auto ms = std::chrono::duration_cast<milliseconds>(ttl).count();
   return {"POST", "/grants", dump({{name::kTtl, ms}})};
 }
 
-HttpRequest touch_request(std::uint64_t grant) {
-  return {"POST", "/grants/" + std::to_string(grant) + "/touch", ""};
+HttpRequest renew_lease_request(std::uint64_t store_lease) {
+  return {"POST", "/grants/" + std::to_string(store_lease) + "/touch", ""};
 }
 
-HttpRequest drop_grant_request(std::uint64_t grant) {
-  return {"DELETE", "/grants/" + std::to_string(grant), ""};
+HttpRequest revoke_lease_request(std::uint64_t store_lease) {
+  return {"DELETE", "/grants/" + std::to_string(store_lease), ""};
 }
 
 HttpRequest watch_request(const std::string& prefix, std::uint64_t after, Duration wait) {
@@ -84,7 +84,9 @@
   return out;
 }
 
-std::uint64_t decode_grant(const std::string& body) { return integer(parse(body), name::kGrant); }
+std::uint64_t decode_store_lease(const std::string& body) {
+  return integer(parse(body), name::kStoreLease);
+}
 
 ItemPage decode_events(const std::string& body) {
   const Json in = parse(body);
--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -235,20 +235,20 @@
 }
 
 TEST(PeerHints, RoundTripAndRefuseNonsense) {
-  const wire::PeerHint hint{"ghat-1",          "ghat-2",           77, true, 250, 66,
-                            {{"req-1", 3, 4}}, {"req-2", "req-9"}, 125};
-  const auto back = wire::decode_hint(wire::encode_hint(hint));
+  const wire::GossipMessage hint{"ghat-1",          "ghat-2",           77, true, 250, 66,
+                                 {{"req-1", 3, 4}}, {"req-2", "req-9"}, 125};
+  const auto back = wire::decode_gossip(wire::encode_gossip(hint));
   ASSERT_TRUE(back);
   EXPECT_EQ(back->leader, "ghat-2");
   EXPECT_EQ(back->token, 77U);
   EXPECT_EQ(back->store_age_ms, 250U);
   EXPECT_EQ(back->heartbeat_age_ms, 125U);
-  EXPECT_EQ(back->resigned, 66U);
+  EXPECT_EQ(back->stepped_down_token, 66U);
   ASSERT_EQ(back->counts.size(), 1U);
   EXPECT_EQ(back->counts[0].running, 4U);
   EXPECT_EQ(back->cancelled, (std::vector<std::string>{"req-2", "req-9"}));
-  EXPECT_FALSE(wire::decode_hint("nonsense"));
-  EXPECT_FALSE(wire::decode_hint(""));
+  EXPECT_FALSE(wire::decode_gossip("nonsense"));
+  EXPECT_FALSE(wire::decode_gossip(""));
 }
 
 // ---- HTTP on loopback ----
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -61,7 +61,7 @@
 
 TEST(StoredRecords, KeysAreStable) {
   EXPECT_STREQ(store::kLeaderKey, "leader");
-  EXPECT_STREQ(store::kEarlierLeadersEndedKey, "earlier-leaders-ended");
+  EXPECT_STREQ(store::kPreviousLeadersExpiredKey, "earlier-leaders-ended");
   EXPECT_STREQ(store::kCatalogKey, "catalog");
   EXPECT_STREQ(store::kLivePrefix, "live/");
   EXPECT_STREQ(store::kProgressPrefix, "progress/");
@@ -99,13 +99,13 @@
     EXPECT_EQ(wire::dump(store::encode_holder(store::decode_holder(wire::parse(literal)))),
               literal);
   }
-  EXPECT_FALSE(store::decode_holder(wire::parse(R"({"claim":17,"node":"ghat-0"})")).contested);
+  EXPECT_FALSE(store::decode_holder(wire::parse(R"({"claim":17,"node":"ghat-0"})")).forced);
 }
 
-TEST(StoredRecords, EarlierHoldersEndedKeepsItsForm) {
+TEST(StoredRecords, PreviousHoldersExpiredKeepsItsForm) {
   const char* const literal = R"({"token":41})";
-  EXPECT_EQ(wire::dump(store::encode_earlier_holders_ended(
-                store::decode_earlier_holders_ended(wire::parse(literal)))),
+  EXPECT_EQ(wire::dump(store::encode_previous_holders_expired(
+                store::decode_previous_holders_expired(wire::parse(literal)))),
             literal);
 }
 
@@ -335,9 +335,9 @@
       wire::txn_request(txn), "POST", "/txn",
       R"({"apply":[{"hold":7,"put":"a/b","value":{"x":1}},{"put":"c/e","value":2},)"
       R"({"drop":"c/d"}],"when":[{"key":"a/b","stamp":0},{"key":"leader","stamp":41}]})");
-  expect_request(wire::grant_request(5s), "POST", "/grants", R"({"ttlMs":5000})");
-  expect_request(wire::touch_request(7), "POST", "/grants/7/touch", "");
-  expect_request(wire::drop_grant_request(7), "DELETE", "/grants/7", "");
+  expect_request(wire::create_lease_request(5s), "POST", "/grants", R"({"ttlMs":5000})");
+  expect_request(wire::renew_lease_request(7), "POST", "/grants/7/touch", "");
+  expect_request(wire::revoke_lease_request(7), "DELETE", "/grants/7", "");
   expect_request(wire::watch_request("c/", 431, 10s), "GET",
                  "/watch?prefix=c/&since=431&blockMs=10000", "");
 }
@@ -355,7 +355,7 @@
   EXPECT_EQ(wire::decode_revision(R"({"ledger":432})"), 432U);
   EXPECT_EQ(wire::decode_failed(R"({"failed":["a/b"],"ledger":431})"),
             std::vector<std::string>{"a/b"});
-  EXPECT_EQ(wire::decode_grant(R"({"hold":7})"), 7U);
+  EXPECT_EQ(wire::decode_store_lease(R"({"hold":7})"), 7U);
   const auto events =
       wire::decode_events(R"({"ledger":433,"news":[{"put":"c/9","value":{"x":2},"stamp":433},)"
                           R"({"drop":"c/d","stamp":432}]})");
@@ -374,14 +374,14 @@
   const std::string literal =
       "9b05a6676861742d31a6676861742d3029c3ccfa289193aa7265712d303030343132030d91aa7265712d30303033"
       "3737cd03e8ce00011170";
-  const auto hint = wire::decode_hint(unhex(literal));
+  const auto hint = wire::decode_gossip(unhex(literal));
   ASSERT_TRUE(hint);
   EXPECT_EQ(hint->node, "ghat-1");
   EXPECT_EQ(hint->leader, "ghat-0");
   EXPECT_EQ(hint->token, 41U);
-  EXPECT_TRUE(hint->sees_store);
+  EXPECT_TRUE(hint->store_reachable);
   EXPECT_EQ(hint->store_age_ms, 250U);
-  EXPECT_EQ(hint->resigned, 40U);
+  EXPECT_EQ(hint->stepped_down_token, 40U);
   ASSERT_EQ(hint->counts.size(), 1U);
   EXPECT_EQ(hint->counts[0].job, "req-000412");
   EXPECT_EQ(hint->counts[0].done, 3U);
@@ -389,7 +389,7 @@
   EXPECT_EQ(hint->cancelled, std::vector<std::string>{"req-000377"});
   EXPECT_EQ(hint->heartbeat_age_ms, 1000U);
   EXPECT_EQ(hint->leader_age_ms, 70000U);
-  EXPECT_EQ(hex(wire::encode_hint(*hint)), literal);
+  EXPECT_EQ(hex(wire::encode_gossip(*hint)), literal);
 }
 
 // ---- Settings and features ----
@@ -443,10 +443,10 @@
   EXPECT_EQ(s.zone, "a");
   EXPECT_EQ(s.api_address, "10.0.0.1:8080");
   EXPECT_EQ(s.peer_address, "10.0.0.1:8081");
-  ASSERT_EQ(s.siblings.size(), 1U);
-  EXPECT_EQ(s.siblings[0].node, "ghat-1");
-  EXPECT_EQ(s.siblings[0].zone, "b");
-  EXPECT_EQ(s.siblings[0].address, "10.0.0.2:8081");
+  ASSERT_EQ(s.peers.size(), 1U);
+  EXPECT_EQ(s.peers[0].node, "ghat-1");
+  EXPECT_EQ(s.peers[0].zone, "b");
+  EXPECT_EQ(s.peers[0].address, "10.0.0.2:8081");
   EXPECT_EQ(s.cloud_address, "10.2.0.2:8443");
   EXPECT_EQ(s.state_address, "10.2.0.1:2379");
   EXPECT_EQ(s.zones, (std::vector<std::string>{"a", "b"}));
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -96,9 +96,9 @@
              std::to_string(std::get<1>(info.param));
     });
 
-// A leader is entitled as long as its grant is touched. One that has claimed the key but cannot
-// read the live jobs would renew the leases of cancelled tasks for ever.
-// Guard: Node::report asks Fleet::current().
+// A leader is holding a valid lease as long as its grant is touched. One that has claimed the key
+// but cannot read the live jobs would renew the leases of cancelled tasks for ever. Guard:
+// Node::report asks Fleet::current().
 TEST(ViewOfTheLiveJobs, WithoutOneNoLeaseIsRenewed) {
   Scenario s(41, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
   const auto id = s.submit(array(4, 400));
@@ -184,7 +184,7 @@
 }
 
 // The leader alone is refused: its watch tells nothing, handing over takes seconds.
-// Guards: Node::cancelled tells the siblings; Fleet::job_ended stops directly.
+// Guards: Node::cancelled tells the peers; Fleet::job_ended stops directly.
 TEST(Cancellations, ReachALeaderThatIsRefusedAlone) {
   Scenario s(45, 3, 5);
   const auto id = s.submit(array(8, 400));
@@ -229,7 +229,7 @@
   EXPECT_TRUE(s.checker.broken.empty()) << s.checker.text();
 }
 
-// Cut from the state service and the siblings, but not from its workers: others confirm
+// Cut from the state service and the peers, but not from its workers: others confirm
 // cancellations that the old leader cannot hear of, while it still has work to start.
 // Guard: Node::may_miss_cancellations.
 TEST(Cancellations, NothingOfThemIsStartedByALeaderThatIsCutOff) {
@@ -419,7 +419,7 @@
 }
 
 // The leader stands still for longer than a lease; its grant lasts longer still. A majority of its
-// siblings does not hear it: one of them takes over while the workers still have time to find it.
+// peers does not hear it: one of them takes over while the workers still have time to find it.
 // Guard: Node::check_leader_liveness.
 TEST(SilentLeader, IsReplacedBeforeTheLeasesRunOut) {
   for (const std::uint64_t seed : {71, 72, 73}) {
@@ -446,7 +446,7 @@
   }
 }
 
-// The leader reaches everything but its siblings: they replace it, and it must notice although its
+// The leader reaches everything but its peers: they replace it, and it must notice although its
 // grant is touched with success. Guard: Lease::renew reads the key first.
 TEST(SilentLeader, ThatIsCutFromItsSiblingsOnlyStepsDown) {
   Scenario s(74, 3, 5);
@@ -481,9 +481,9 @@
   EXPECT_EQ(s.leader(), leader);
 }
 
-// A leader that has lost siblings and state service is replaced while it is still entitled, and a
-// part of the workers stays with it: until its entitlement is over it may renew their leases, so
-// their tasks must not start elsewhere. Guard: Lease::earlier_holders_end.
+// A leader that has lost peers and state service is replaced while it is still holding a valid
+// lease, and a part of the workers stays with it: until its lease validity is over it may renew
+// their leases, so their tasks must not start elsewhere. Guard: Lease::previous_holders_expiry.
 TEST(SilentLeader, WorkersThatItStillAnswersAreWaitedFor) {
   for (const std::uint64_t seed : {76, 77, 78}) {
     Scenario s(seed, 3, 5);
@@ -511,7 +511,7 @@
 }
 
 // The same, and the new leader resigns or ends within a second: its successor inherits the wait.
-// Guard: the leader record says that its claim was contested.
+// Guard: the leader record says that its claim was forced.
 TEST(SilentLeader, IsReckonedWithByTheNextSuccessorToo) {
   for (const std::uint64_t seed : {79, 80, 81}) {
     Scenario s(seed, 3, 5);
@@ -537,9 +537,9 @@
   }
 }
 
-// Long after a contested term has begun its leader ends. Its successor need not wait for leaders
+// Long after a forced term has begun its leader ends. Its successor need not wait for leaders
 // before it: a machine that is not heard is waited for a lease, not a grant and a lease.
-// Guard: Lease::note_earlier_holders_ended.
+// Guard: Lease::record_previous_holders_expired.
 TEST(SilentLeader, IsForgottenOnceItsEntitlementIsOver) {
   Scenario s(82, 3, 3);
   s.submit(array(8, 400));
@@ -568,7 +568,7 @@
 
 // All machines are gone as a leader ends: each next one heard no worker for a few seconds and
 // handed over, long before the leases of those on the machine registry had run out, and so for
-// ever: nothing was started any more. Guard: Node::check_leadership asks whether the sibling hears
+// ever: nothing was started any more. Guard: Node::check_leadership asks whether the peer hears
 // workers.
 TEST(Leaders, DoNotHandOverForEverWhenAllMachinesAreGone) {
   Scenario s(61, 3, 5);
--- a/tests/troubles_test.cpp
+++ b/tests/troubles_test.cpp
@@ -159,7 +159,7 @@
   EXPECT_TRUE(m.attempts.empty());
 }
 
-// A leader that hears neither state service nor siblings, but its workers: the next one must not be
+// A leader that hears neither state service nor peers, but its workers: the next one must not be
 // held up, and a cancellation told by another node must be kept to.
 TEST(AloneWithItsWorkers, TheLeaderGivesWayInTime) {
   Scenario s(23, 3, 5);
@@ -295,7 +295,8 @@
   EXPECT_TRUE(s.checker.broken.empty()) << s.checker.text();
 }
 
-// An outage is the same for all: giving up would cost the entitlement that carries the work over.
+// An outage is the same for all: giving up would cost the lease validity that carries the work
+// over.
 TEST(HandOver, NotInAnOutageForAll) {
   Scenario s(33, 3, 5);
   s.submit(array(4, 60));
