--- a/src/autoscale/autoscale.cpp
+++ b/src/autoscale/autoscale.cpp
@@ -14,19 +14,19 @@
 constexpr auto kConsolidateEvery = 3s;
 constexpr auto kLull = 20s;
 
-Pool pool_of(const duties::Rental& rental) { return {rental.type, rental.zone, rental.spot}; }
+Pool pool_of(const provisioning::Rental& rental) { return {rental.type, rental.zone, rental.spot}; }
 
 }  // namespace
 
-Autoscaler::Autoscaler(Runtime& runtime, cloud::Cloud& cloud, duties::MachineDuties& duties,
-                       const Settings& settings, const cloud::Catalog& catalog,
-                       std::shared_ptr<fleet::Fleet> fleet)
+Autoscaler::Autoscaler(Runtime& runtime, cloud::Cloud& cloud,
+                       provisioning::ProvisioningController& provisioning, const Settings& settings,
+                       const cloud::Catalog& catalog, std::shared_ptr<fleet::Fleet> fleet)
     : runtime_(runtime),
       cloud_(cloud),
-      duties_(duties),
+      provisioning_(provisioning),
       catalog_(catalog),
       fleet_(std::move(fleet)),
-      operations_(duties.begin_term()),
+      operations_(provisioning.begin_term()),
       inventory_(settings),
       return_policy_(settings, catalog, *fleet_, inventory_) {}
 
@@ -35,19 +35,19 @@
   tick();
 }
 
-duties::MachineOperations::Events Autoscaler::operation_events() {
+provisioning::OperationRunner::Events Autoscaler::operation_events() {
   const auto tell = [self = weak_from_this()](auto action) {
-    return [self, action](const duties::Operation& operation) {
+    return [self, action](const provisioning::Operation& operation) {
       const auto a = self.lock();
       if (a && !a->stopped_) action(*a, operation);
     };
   };
-  return {tell([](Autoscaler& a, const duties::Operation& o) {
+  return {tell([](Autoscaler& a, const provisioning::Operation& o) {
             for (const auto& [machine, reason] : o.returns) a.fleet_->begin_return(machine);
           }),
-          tell([](Autoscaler& a, const duties::Operation& o) { a.granted(o); }),
-          tell([](Autoscaler& a, const duties::Operation& o) { a.refused(o); }),
-          tell([](Autoscaler& a, const duties::Operation& o) { a.returned(o); })};
+          tell([](Autoscaler& a, const provisioning::Operation& o) { a.granted(o); }),
+          tell([](Autoscaler& a, const provisioning::Operation& o) { a.refused(o); }),
+          tell([](Autoscaler& a, const provisioning::Operation& o) { a.returned(o); })};
 }
 
 void Autoscaler::tick() {
@@ -55,13 +55,13 @@
   runtime_.after(kTick, [self = weak_from_this()] {
     if (const auto a = self.lock()) a->tick();
   });
-  if (!duties_.lease_valid() || !fleet_->recovered() || !catalog_.known()) return;
+  if (!provisioning_.lease_valid() || !fleet_->recovered() || !catalog_.known()) return;
   list_machines();
   settle_machines();
   return_policy_.update(runtime_.now());
   send_returns();
   consolidate();
-  show_orphans();
+  publish_orphans();
   // What an earlier leader rented shows in the list first.
   if (first_list_ != TimePoint{} && fleet_->reconciled()) rent();
 }
@@ -103,8 +103,8 @@
   for (const auto& machine : inventory_.take_vanished()) operations_->settle(machine);
 }
 
-// Machines that the ledger names are settled once they are on the machine registry: a later leader
-// then knows of them from there.
+// Machines that the operation log names are settled once they are on the machine registry: a later
+// leader then knows of them from there.
 void Autoscaler::settle_machines() {
   inventory_.update(fleet_->machines(), runtime_.now());
   std::vector<std::string> settled;
@@ -117,14 +117,14 @@
   for (const auto& machine : settled) operations_->settle(machine);
 }
 
-void Autoscaler::show_orphans() {
-  std::vector<duties::Orphan> orphans;
+void Autoscaler::publish_orphans() {
+  std::vector<provisioning::OrphanedInstance> orphans;
   const auto now = runtime_.now();
   for (const auto& [machine, u] : inventory_.unaccounted()) {
     const auto age = std::chrono::duration_cast<WallTime::duration>(now - u.since);
     orphans.push_back({machine, u.state, runtime_.wall() - age});
   }
-  duties_.show_orphans(orphans);
+  provisioning_.publish_orphans(orphans);
 }
 
 // Only in a lull: while work keeps arriving the room will be wanted again.
@@ -150,7 +150,7 @@
   const auto now = runtime_.now();
   auto out = inventory_.pending();
   for (const auto& [name, o] : operations_->open()) {
-    if (o.kind != duties::OperationKind::Rent) continue;
+    if (o.kind != provisioning::OperationKind::Rent) continue;
     for (std::size_t i = 0; i < o.rental.count; ++i) {
       out[name + "/" + std::to_string(i)] = {pool_of(o.rental), now, now};
     }
@@ -207,7 +207,7 @@
   const auto pending = pending_and_requested();
   std::set<Pool> under_way;
   for (const auto& [name, o] : operations_->open()) {
-    if (o.kind == duties::OperationKind::Rent) under_way.insert(pool_of(o.rental));
+    if (o.kind == provisioning::OperationKind::Rent) under_way.insert(pool_of(o.rental));
   }
   std::map<std::string, CountByZone> by_type;
   for (const auto& desired : desired_machines(fleet_->demand(), pending, market())) {
@@ -233,12 +233,12 @@
     const auto a = self.lock();
     if (!a || a->stopped_) return;
     a->rent_due_ = false;
-    if (a->duties_.lease_valid()) a->rent();
+    if (a->provisioning_.lease_valid()) a->rent();
   });
 }
 
 // Under this leader, or by an earlier one.
-void Autoscaler::granted(const duties::Operation& o) {
+void Autoscaler::granted(const provisioning::Operation& o) {
   const auto now = runtime_.now();
   const Pool pool = pool_of(o.rental);
   const auto age = std::chrono::duration_cast<Duration>(runtime_.wall() - o.begun);
@@ -248,15 +248,15 @@
   rent_soon();
 }
 
-void Autoscaler::refused(const duties::Operation& o) {
+void Autoscaler::refused(const provisioning::Operation& o) {
   // One that was withdrawn is decided upon anew.
-  if (o.state == duties::OperationState::Refused) {
+  if (o.state == provisioning::OperationState::Refused) {
     refused_until_[pool_of(o.rental)] = runtime_.now() + kRefusedFor;
   }
   rent_soon();
 }
 
-void Autoscaler::returned(const duties::Operation& o) {
+void Autoscaler::returned(const provisioning::Operation& o) {
   const auto now = runtime_.now();
   for (const auto& [machine, reason] : o.returns) {
     inventory_.returned(machine, now);
@@ -282,7 +282,7 @@
 }
 
 // One return is under way at a time. From here on no leader gives the machines work: none of this
-// term, see Fleet::begin_return, and none later, since the ledger tells of them.
+// term, see Fleet::begin_return, and none later, since the operation log tells of them.
 void Autoscaler::send_returns() {
   if (operations_->returning() || !operations_->may_begin() || !cloud_.may_call()) return;
   const auto returns = return_policy_.due(wire::kMostReturned);
--- a/src/autoscale/autoscale.hpp
+++ b/src/autoscale/autoscale.hpp
@@ -14,17 +14,17 @@
 #include "base/settings.hpp"
 #include "cloud/catalog.hpp"
 #include "cloud/cloud.hpp"
-#include "duties/machine_duties.hpp"
 #include "fleet/fleet.hpp"
+#include "provisioning/provisioning_controller.hpp"
 
 namespace asterstair::autoscale {
 
 class Autoscaler : public std::enable_shared_from_this<Autoscaler> {
  public:
   // Begins a term of the duties, and tells the fleet of returns that earlier leaders began.
-  Autoscaler(Runtime& runtime, cloud::Cloud& cloud, duties::MachineDuties& duties,
-             const Settings& settings, const cloud::Catalog& catalog,
-             std::shared_ptr<fleet::Fleet> fleet);
+  Autoscaler(Runtime& runtime, cloud::Cloud& cloud,
+             provisioning::ProvisioningController& provisioning, const Settings& settings,
+             const cloud::Catalog& catalog, std::shared_ptr<fleet::Fleet> fleet);
   void start();
   void stop() { stopped_ = true; }
 
@@ -34,12 +34,12 @@
   void list(const std::string& after, const std::shared_ptr<std::vector<ListedMachine>>& so_far);
   void listed(const std::vector<ListedMachine>& machines);
   void consolidate();
-  duties::MachineOperations::Events operation_events();
-  void granted(const duties::Operation& operation);
-  void refused(const duties::Operation& operation);
-  void returned(const duties::Operation& operation);
+  provisioning::OperationRunner::Events operation_events();
+  void granted(const provisioning::Operation& operation);
+  void refused(const provisioning::Operation& operation);
+  void returned(const provisioning::Operation& operation);
   void settle_machines();
-  void show_orphans();
+  void publish_orphans();
 
   using CountByZone = std::map<std::string, std::size_t>;
   void rent();
@@ -57,10 +57,10 @@
 
   Runtime& runtime_;
   cloud::Cloud& cloud_;
-  duties::MachineDuties& duties_;
+  provisioning::ProvisioningController& provisioning_;
   const cloud::Catalog& catalog_;
   std::shared_ptr<fleet::Fleet> fleet_;
-  std::shared_ptr<duties::MachineOperations> operations_;
+  std::shared_ptr<provisioning::OperationRunner> operations_;
   Inventory inventory_;
   ReturnPolicy return_policy_;
   bool stopped_ = false, listing_ = false, rent_due_ = false;
--- a/src/autoscale/inventory.cpp
+++ b/src/autoscale/inventory.cpp
@@ -22,19 +22,22 @@
 void Inventory::returned(const std::string& machine, TimePoint now) {
   pending_.erase(machine);
   returned_[machine] = now;
-  settle_orphan(machine, duties::Orphan::State::Returned);
+  settle_orphan(machine, provisioning::OrphanedInstance::State::Returned);
 }
 
-void Inventory::note_orphan(const std::string& machine, TimePoint now) {
+void Inventory::add_orphan(const std::string& machine, TimePoint now) {
   log::info("machine {} is listed, but neither in the ledger nor in the fleet", machine);
   if (unaccounted_.size() < kMostUnaccounted) unaccounted_[machine] = {{}, now};
 }
 
-void Inventory::settle_orphan(const std::string& machine, duties::Orphan::State state) {
+void Inventory::settle_orphan(const std::string& machine,
+                              provisioning::OrphanedInstance::State state) {
   const auto it = unaccounted_.find(machine);
-  if (it == unaccounted_.end() || it->second.state != duties::Orphan::State::Waiting) return;
+  if (it == unaccounted_.end() ||
+      it->second.state != provisioning::OrphanedInstance::State::Waiting)
+    return;
   it->second.state = state;
-  log::info("machine {}, which nobody accounted for: {}", machine, duties::word(state));
+  log::info("machine {}, which nobody accounted for: {}", machine, provisioning::word(state));
 }
 
 void Inventory::listed(const std::vector<ListedMachine>& machines, const fleet::Machines& fleet,
@@ -44,9 +47,9 @@
     last_list_.insert(m.id);
     if (is_returned(m.id) || m.state == ListedMachine::State::Failed) continue;
     if (fleet.find(m.id) != nullptr || pending_.count(m.id) != 0) continue;
-    // Rented by a request thought lost, or under a ledger that is not there: used like any other,
-    // and returned if it does not come up.
-    note_orphan(m.id, now);
+    // Rented by a request thought lost, or under a operation log that is not there: used like any
+    // other, and returned if it does not come up.
+    add_orphan(m.id, now);
     pending_[m.id] = {{m.type, m.zone, m.spot}, now - to_duration(m.age), now};
   }
   // Taken back or given up while it was coming.
@@ -59,9 +62,9 @@
     }
     vanished_.push_back(it->first);
     if (unaccounted_.count(it->first) != 0) {
-      settle_orphan(it->first, duties::Orphan::State::Vanished);
+      settle_orphan(it->first, provisioning::OrphanedInstance::State::Vanished);
     } else if (unaccounted_.size() < kMostUnaccounted) {
-      unaccounted_[it->first] = {duties::Orphan::State::NeverAppeared, now};
+      unaccounted_[it->first] = {provisioning::OrphanedInstance::State::NeverAppeared, now};
     }
     it = pending_.erase(it);
   }
@@ -76,11 +79,12 @@
       ++it;
       continue;
     }
-    settle_orphan(it->first, duties::Orphan::State::InUse);
+    settle_orphan(it->first, provisioning::OrphanedInstance::State::InUse);
     it = pending_.erase(it);
   }
   std::erase_if(unaccounted_, [&](const auto& u) {
-    return u.second.state != duties::Orphan::State::Waiting && now - u.second.since > kSettledKept;
+    return u.second.state != provisioning::OrphanedInstance::State::Waiting &&
+           now - u.second.since > kSettledKept;
   });
 }
 
--- a/src/autoscale/inventory.hpp
+++ b/src/autoscale/inventory.hpp
@@ -10,8 +10,8 @@
 
 #include "autoscale/desired_machines.hpp"
 #include "base/settings.hpp"
-#include "duties/records.hpp"
 #include "fleet/machines.hpp"
+#include "provisioning/records.hpp"
 
 namespace asterstair::autoscale {
 
@@ -35,14 +35,14 @@
   std::vector<std::string> take_vanished();
   // Machines that nobody accounts for, with when they were first seen; settled ones for a while.
   struct Unaccounted {
-    duties::Orphan::State state = duties::Orphan::State::Waiting;
+    provisioning::OrphanedInstance::State state = provisioning::OrphanedInstance::State::Waiting;
     TimePoint since{};
   };
   const std::map<std::string, Unaccounted>& unaccounted() const { return unaccounted_; }
 
  private:
-  void note_orphan(const std::string& machine, TimePoint now);
-  void settle_orphan(const std::string& machine, duties::Orphan::State state);
+  void add_orphan(const std::string& machine, TimePoint now);
+  void settle_orphan(const std::string& machine, provisioning::OrphanedInstance::State state);
 
   const Settings& settings_;
   std::map<std::string, PendingMachine> pending_;
--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -24,7 +24,7 @@
                           TimePoint now) {
   for (const auto& m : machines) {
     if (m.state == ListedMachine::State::Failed && !inventory_.is_returned(m.id)) {
-      due_[m.id] = duties::ReturnReason::Stopped;
+      due_[m.id] = provisioning::ReturnReason::Stopped;
     }
   }
   // A take-over waits for every machine that may hold tasks. Of those that neither report nor are
@@ -32,7 +32,7 @@
   if (fleet_.reconciled() || now - first_list <= kTakeOverPatience) return;
   for (const auto& [id, m] : fleet_.machines().all()) {
     if (!m.reconciled && !m.lease_expired && !inventory_.listed_last(id)) {
-      due_.emplace(id, duties::ReturnReason::Unlisted);
+      due_.emplace(id, provisioning::ReturnReason::Unlisted);
     }
   }
 }
@@ -55,9 +55,9 @@
   idle_since_ = std::move(idle);
 }
 
-duties::Returns ReturnPolicy::due(std::size_t most) {
+provisioning::Returns ReturnPolicy::due(std::size_t most) {
   std::erase_if(due_, [this](const auto& d) { return !still_due(d.first, d.second); });
-  duties::Returns out;
+  provisioning::Returns out;
   for (const auto& [machine, reason] : due_) {
     if (out.size() >= most) break;
     out[machine] = reason;
@@ -66,9 +66,9 @@
 }
 
 // Between the decision and the order a machine may have come up, or have shown tasks.
-bool ReturnPolicy::still_due(const std::string& machine, duties::ReturnReason reason) const {
-  if (duties::gives_up_work(reason)) return true;
-  if (reason == duties::ReturnReason::FailedBoot) {
+bool ReturnPolicy::still_due(const std::string& machine, provisioning::ReturnReason reason) const {
+  if (provisioning::gives_up_work(reason)) return true;
+  if (reason == provisioning::ReturnReason::FailedBoot) {
     return fleet_.machines().find(machine) == nullptr;
   }
   return fleet_.known_empty(machine);
@@ -80,7 +80,7 @@
     const auto boot = to_duration(boot_time(p.pool.type) * kBootPatience) + kBootExtra;
     // A new leader first hears from the machines that are up.
     const bool failed = now - p.since > boot && now - p.first_seen > settings_.lease + kBootExtra;
-    if (failed && due_.emplace(id, duties::ReturnReason::FailedBoot).second) {
+    if (failed && due_.emplace(id, provisioning::ReturnReason::FailedBoot).second) {
       log::info("machine {} has not come up; returned", id);
     }
   }
@@ -91,13 +91,13 @@
   return t != nullptr ? t->boot : kUnknownBoot;
 }
 
-std::optional<duties::ReturnReason> ReturnPolicy::unusable(const fleet::Machine& m,
-                                                           TimePoint now) const {
+std::optional<provisioning::ReturnReason> ReturnPolicy::unusable(const fleet::Machine& m,
+                                                                 TimePoint now) const {
   if (m.unresponsive_since && now - *m.unresponsive_since > settings_.lease * kUnresponsiveLeases) {
-    return duties::ReturnReason::Unreachable;
+    return provisioning::ReturnReason::Unreachable;
   }
   if (m.lease_expired && now - m.last_answered > settings_.lease + kLeaseExpiredTimeout) {
-    return duties::ReturnReason::LeaseExpired;
+    return provisioning::ReturnReason::LeaseExpired;
   }
   return std::nullopt;
 }
@@ -115,7 +115,7 @@
 // exited tasks wait for their results to be durable.
 void ReturnPolicy::release(const fleet::Machine& m, TimePoint idle_since, FreeRoom& room,
                            TimePoint now) {
-  using duties::ReturnReason;
+  using provisioning::ReturnReason;
   if (m.service != fleet::Machine::Service::InUse) {
     if (m.attempts.empty()) {
       due_.emplace(m.id, m.faulty ? ReturnReason::Faulty : ReturnReason::Idle);
--- a/src/autoscale/return_policy.hpp
+++ b/src/autoscale/return_policy.hpp
@@ -8,8 +8,8 @@
 #include "autoscale/inventory.hpp"
 #include "base/settings.hpp"
 #include "cloud/catalog.hpp"
-#include "duties/operation.hpp"
 #include "fleet/fleet.hpp"
+#include "provisioning/operation.hpp"
 
 namespace asterstair::autoscale {
 
@@ -25,7 +25,7 @@
   // Looks at all machines; drains those that are not needed.
   void update(TimePoint now);
   // Machines to be returned now, at most so many. Those that must be empty are.
-  duties::Returns due(std::size_t most);
+  provisioning::Returns due(std::size_t most);
   void returned(const std::string& machine) { due_.erase(machine); }
 
  private:
@@ -37,12 +37,13 @@
   void find_failed_boots(TimePoint now);
   void release(const fleet::Machine& machine, TimePoint idle_since, FreeRoom& room, TimePoint now);
   // Why it is of no use, whatever it says of itself.
-  std::optional<duties::ReturnReason> unusable(const fleet::Machine& machine, TimePoint now) const;
+  std::optional<provisioning::ReturnReason> unusable(const fleet::Machine& machine,
+                                                     TimePoint now) const;
   bool idle_for_long(const fleet::Machine& machine, TimePoint idle_since, const FreeRoom& room,
                      TimePoint now) const;
   bool gang_waits_for(const fleet::Machine& machine) const;
   bool may_spare(const fleet::Machine& machine, const FreeRoom& room) const;
-  bool still_due(const std::string& machine, duties::ReturnReason reason) const;
+  bool still_due(const std::string& machine, provisioning::ReturnReason reason) const;
   FreeRoom free_room() const;
   Seconds boot_time(const std::string& type) const;
 
@@ -51,7 +52,7 @@
   fleet::Fleet& fleet_;
   const Inventory& inventory_;
   std::map<std::string, TimePoint> idle_since_;
-  duties::Returns due_;
+  provisioning::Returns due_;
 };
 
 }  // namespace asterstair::autoscale
--- a/src/base/features.cpp
+++ b/src/base/features.cpp
@@ -28,7 +28,10 @@
 Features parse_features(std::string_view toml_text) {
   const toml::table root = parse(toml_text);
   Features out;
-  const std::map<std::string, bool*, std::less<>> known{{"machine_duties", &out.machine_duties}};
+  const std::map<std::string, bool*, std::less<>> known{
+      {"durable_provisioning", &out.durable_provisioning},
+      {"machine_duties", &out.durable_provisioning},  // its name before 0.2, accepted for good
+  };
   for (const auto& [key, value] : root) {
     if (key.str() != "features") fail(std::string(key.str()), "there is no such section");
   }
--- a/src/base/features.hpp
+++ b/src/base/features.hpp
@@ -9,8 +9,9 @@
 namespace asterstair {
 
 struct Features {
-  // A lease and a ledger for renting and returning machines, see docs/design/machine-duties.md.
-  bool machine_duties = false;
+  // A lease and an operation log for provisioning machines, see docs/design/provisioning.md.
+  // docs/design/provisioning.md.
+  bool durable_provisioning = false;
 };
 
 // Throw SettingsError, which names the field in one line.
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -7,7 +7,7 @@
 
 constexpr auto kTimeout = 5s;
 // From clouds that check the fencing token: a newer one has been seen. The order stays as it is: if
-// this node holds the duty no more, its successor completes it.
+// this node holds the provisioning lease no more, its successor completes it.
 constexpr int kFenced = 409;
 // A new leader may start while calls of the last one still count.
 constexpr double kCallShare = 0.8;
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -219,7 +219,7 @@
   std::uint64_t live_revision_ = 0;
   Jobs jobs_;
   Machines machines_;
-  std::set<std::string> gone_;       // returned during this term, or before as the ledger tells
+  std::set<std::string> gone_;  // returned during this term, or before as the operation log tells
   std::set<std::string> returning_;  // as far as begin_return() has told
   // Versions of the keys that only the leader writes. A write that was never answered may be
   // carried out late; being conditional on the version, it cannot then undo a newer one.
--- a/src/fleet/loading.cpp
+++ b/src/fleet/loading.cpp
@@ -121,7 +121,7 @@
     log::error("roster is malformed: {}", e.what());
   }
   for (const auto& id : chunk) {
-    // The ledger, which may have been read before, tells that it has been returned.
+    // The operation log, which may have been read before, tells that it has been returned.
     if (gone_.count(id) != 0) continue;
     Machine& m = machines_.at(id);
     m.id = id;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -6,10 +6,10 @@
 
 #include "base/features.hpp"
 #include "base/log.hpp"
-#include "duties/console.hpp"
 #include "net/http_server.hpp"
 #include "net/loop.hpp"
 #include "node/node.hpp"
+#include "provisioning/admin_commands.hpp"
 
 namespace {
 
@@ -41,10 +41,10 @@
 }
 
 // Carries out an operator's command on the machine duty; 1 if that failed.
-int command_duty(const std::string& command, const Settings& settings) {
+int run_admin_command(const std::string& command, const Settings& settings) {
   net::LoopRuntime runtime(settings);
   store::Store store(runtime, settings);
-  duties::Console console(store);
+  provisioning::AdminCommands admin_commands(store);
   int status = 1;
   const auto done = [&](bool ok, const std::vector<std::string>& lines) {
     for (const auto& line : lines) std::cout << line << '\n';
@@ -52,11 +52,11 @@
     uv_stop(runtime.loop());
   };
   if (command == "show") {
-    console.show(done);
+    admin_commands.show(done);
   } else if (command == "hand-over") {
-    console.hand_over(done);
+    admin_commands.hand_over(done);
   } else {
-    console.pause(command == "pause", done);
+    admin_commands.pause(command == "pause", done);
   }
   runtime.run();
   return status;
@@ -66,12 +66,13 @@
   CLI::App app{"asterstair: a cluster scheduler. Logging level: LOG_LEVEL=error|info|debug."};
   std::string config;
   std::string features_file;
-  std::string duty_command;
+  std::string admin_command;
   bool check = false;
   app.set_version_flag("--version", std::string("asterstair ") + ASTERSTAIR_VERSION);
   app.add_option("--config", config, "Settings file (TOML)")->required();
   app.add_option("--features", features_file, "Features file (TOML); without it all are off");
-  app.add_option("--machine-duty", duty_command, "Show or change who rents machines, and exit")
+  app.add_option("--provisioning,--machine-duty", admin_command,
+                 "Show or change who provisions machines, and exit")
       ->check(CLI::IsMember({"show", "pause", "resume", "hand-over"}));
   app.add_flag("--check", check, "Check the settings file and exit");
   CLI11_PARSE(app, argc, argv);
@@ -91,7 +92,7 @@
   }
   std::signal(SIGPIPE, SIG_IGN);
   log::init(settings.node);
-  if (!duty_command.empty()) return command_duty(duty_command, settings);
+  if (!admin_command.empty()) return run_admin_command(admin_command, settings);
   serve(settings, features);
   return 0;
 }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -40,8 +40,8 @@
       frontend_(runtime_, store_, settings_, catalog_),
       election_(runtime_, store_, settings_,
                 {[this](std::uint64_t) { elected(); }, [this] { lost(); }}),
-      machine_duties_(runtime_, store_, cloud_, settings_, election_, features.machine_duties,
-                      [this] { election_.step_down(); }),
+      provisioning_(runtime_, store_, cloud_, settings_, election_, features.durable_provisioning,
+                    [this] { election_.step_down(); }),
       peers_(settings_.peers, runtime_.now()) {
   frontend_.on_cancelled([this](const std::string& job) { cancelled(job); });
 }
@@ -57,8 +57,8 @@
 void Node::elected() {
   lost();
   fleet_ = std::make_shared<fleet::Fleet>(runtime_, store_, election_, settings_, catalog_);
-  autoscaler_ = std::make_shared<autoscale::Autoscaler>(runtime_, cloud_, machine_duties_,
-                                                        settings_, catalog_, fleet_);
+  autoscaler_ = std::make_shared<autoscale::Autoscaler>(runtime_, cloud_, provisioning_, settings_,
+                                                        catalog_, fleet_);
   fleet_->start();
   autoscaler_->start();
   send_gossip(gossip_message());
@@ -69,7 +69,7 @@
   if (fleet_) fleet_->stop();
   autoscaler_.reset();
   fleet_.reset();
-  machine_duties_.end_term();
+  provisioning_.end_term();
 }
 
 // Machine types come from the cloud; what was seen last is kept in the state service, so that a
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -11,12 +11,12 @@
 #include "base/settings.hpp"
 #include "cloud/catalog.hpp"
 #include "cloud/cloud.hpp"
-#include "duties/machine_duties.hpp"
 #include "fleet/fleet.hpp"
 #include "frontend/frontend.hpp"
 #include "leader/election.hpp"
 #include "node/peer_table.hpp"
 #include "node/recent_cancellations.hpp"
+#include "provisioning/provisioning_controller.hpp"
 #include "store/store.hpp"
 #include "wire/peer.hpp"
 
@@ -53,7 +53,7 @@
   cloud::Catalog catalog_;
   frontend::Frontend frontend_;
   leader::Election election_;
-  duties::MachineDuties machine_duties_;
+  provisioning::ProvisioningController provisioning_;
   std::shared_ptr<fleet::Fleet> fleet_;
   std::shared_ptr<autoscale::Autoscaler> autoscaler_;
   PeerTable peers_;
--- a/src/duties/console.cpp
+++ b/src/provisioning/admin_commands.cpp
@@ -1,4 +1,4 @@
-#include "duties/console.hpp"
+#include "provisioning/admin_commands.hpp"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 
 #include "store/records.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 namespace {
 
 constexpr const char* kNoAnswer = "the state service does not answer";
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-void Console::read(const std::function<void(bool ok, const State&)>& done) {
+void AdminCommands::read(const std::function<void(bool ok, const State&)>& done) {
   auto state = std::make_shared<State>();
   auto left = std::make_shared<int>(4);
   auto ok = std::make_shared<bool>(true);
@@ -68,11 +68,11 @@
   };
   list(kLeaseKey, &State::lease);
   list(kControlKey, &State::control);
-  list(kLedgerPrefix, &State::ledger);
+  list(kOperationPrefix, &State::operation_log);
   list(kOrphansKey, &State::orphans);
 }
 
-void Console::show(const Done& done) {
+void AdminCommands::show(const Done& done) {
   read([done](bool ok, const State& state) {
     if (!ok) {
       done(false, {kNoAnswer});
@@ -83,7 +83,7 @@
         described(kLeaseKey, [&] { return describe_holder(find(state.lease, kLeaseKey)); }));
     lines.push_back(
         described(kControlKey, [&] { return describe_control(find(state.control, kControlKey)); }));
-    for (const auto& item : state.ledger) {
+    for (const auto& item : state.operation_log) {
       lines.push_back(
           described(item.key, [&] { return describe(decode_operation(item.key, *item.value)); }));
     }
@@ -100,7 +100,7 @@
   });
 }
 
-void Console::write_control(const Control& control, std::uint64_t version, const Done& done) {
+void AdminCommands::write_control(const Control& control, std::uint64_t version, const Done& done) {
   wire::Txn txn;
   txn.conditions.push_back({kControlKey, version});
   txn.changes.push_back({kControlKey, encode_control(control)});
@@ -111,8 +111,8 @@
   });
 }
 
-// A record that cannot be read is replaced: it pauses the duty until it is.
-void Console::pause(bool paused, const Done& done) {
+// A record that cannot be read is replaced: it pauses the provisioning lease until it is.
+void AdminCommands::pause(bool paused, const Done& done) {
   read([this, paused, done](bool ok, const State& state) {
     if (!ok) {
       done(false, {kNoAnswer});
@@ -123,7 +123,7 @@
   });
 }
 
-void Console::hand_over(const Done& done) {
+void AdminCommands::hand_over(const Done& done) {
   read([this, done](bool ok, const State& state) {
     const auto* lease = find(state.lease, kLeaseKey);
     if (!ok || lease == nullptr) {
@@ -143,4 +143,4 @@
   });
 }
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/console.hpp
+++ b/src/provisioning/admin_commands.hpp
@@ -6,27 +6,27 @@
 #include <string>
 #include <vector>
 
-#include "duties/records.hpp"
+#include "provisioning/records.hpp"
 #include "store/store.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 
-class Console {
+class AdminCommands {
  public:
   // The lines to be shown; `ok` is false if the state service did not answer or refused.
   using Done = std::function<void(bool ok, const std::vector<std::string>& lines)>;
 
-  explicit Console(store::Store& store) : store_(store) {}
+  explicit AdminCommands(store::Store& store) : store_(store) {}
 
   // Holder, token, what has been asked for, operations, quarantined records, orphans.
   void show(const Done& done);
   void pause(bool paused, const Done& done);
-  // Asks the present holder to give the duty to another node.
+  // Asks the present holder to give the provisioning lease to another node.
   void hand_over(const Done& done);
 
  private:
   struct State {
-    std::vector<wire::Item> lease, control, ledger, orphans;
+    std::vector<wire::Item> lease, control, operation_log, orphans;
   };
   void read(const std::function<void(bool ok, const State&)>& done);
   void write_control(const Control& control, std::uint64_t version, const Done& done);
@@ -34,4 +34,4 @@
   store::Store& store_;
 };
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/operation.cpp
+++ b/src/provisioning/operation.cpp
@@ -1,9 +1,9 @@
-#include "duties/operation.hpp"
+#include "provisioning/operation.hpp"
 
 #include <array>
 #include <utility>
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 namespace {
 
 template <typename E>
@@ -12,7 +12,7 @@
 constexpr std::array<Word<OperationKind>, 2> kKinds{
     {{OperationKind::Rent, "rent"}, {OperationKind::Return, "return"}}};
 
-constexpr std::array<Word<OperationState>, 6> kStates{{{OperationState::Intended, "intended"},
+constexpr std::array<Word<OperationState>, 6> kStates{{{OperationState::Pending, "intended"},
                                                        {OperationState::Granted, "granted"},
                                                        {OperationState::Refused, "refused"},
                                                        {OperationState::Withdrawn, "withdrawn"},
@@ -47,9 +47,9 @@
 
 bool is_legal(OperationKind kind, OperationState from, OperationState to) {
   if (to == OperationState::Settled) {
-    return from != OperationState::Intended && from != OperationState::Settled;
+    return from != OperationState::Pending && from != OperationState::Settled;
   }
-  if (from != OperationState::Intended) return false;
+  if (from != OperationState::Pending) return false;
   if (kind == OperationKind::Return) return to == OperationState::Confirmed;
   return to == OperationState::Granted || to == OperationState::Refused ||
          to == OperationState::Withdrawn;
@@ -72,4 +72,4 @@
 std::optional<OperationState> state_of(std::string_view word) { return find_value(kStates, word); }
 std::optional<ReturnReason> reason_of(std::string_view word) { return find_value(kReasons, word); }
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/operation.hpp
+++ b/src/provisioning/operation.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Operations on the cloud's machines, as the ledger keeps them: what they are, which states they go
-// through, and why machines are returned. Pure types.
+// Operations on the cloud's machines, as the operation log keeps them: what they are, which states
+// they go through, and why machines are returned. Pure types.
 
 #include <cstdint>
 #include <map>
@@ -11,12 +11,12 @@
 
 #include "base/time.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 
 enum class OperationKind { Rent, Return };
 
 enum class OperationState {
-  Intended,   // durable; the cloud may or may not have been asked
+  Pending,    // durable; the cloud may or may not have been asked
   Granted,    // Rent: the cloud has named the machines
   Refused,    // Rent: the cloud has none; ends the operation
   Withdrawn,  // Rent: surely not carried out, and not wanted any more; ends the operation
@@ -56,7 +56,7 @@
 struct Operation {
   std::string name;  // never used again, not even by another node
   OperationKind kind = OperationKind::Rent;
-  OperationState state = OperationState::Intended;
+  OperationState state = OperationState::Pending;
   std::uint64_t token = 0;  // under which it was begun
   std::string holder;       // the node that began it
   WallTime begun{};
@@ -73,4 +73,4 @@
 std::optional<OperationState> state_of(std::string_view word);
 std::optional<ReturnReason> reason_of(std::string_view word);
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/ledger.hpp
+++ b/src/provisioning/operation_log.hpp
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "duties/operation.hpp"
+#include "provisioning/operation.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 
-class Ledger {
+class OperationLog {
  public:
-  virtual ~Ledger() = default;
+  virtual ~OperationLog() = default;
   // Reads what earlier holders left. Called back once, when it is known.
   virtual void load(std::function<void(std::vector<Operation>)> done) = 0;
   // Whether one more operation may be begun.
@@ -25,7 +25,7 @@
 };
 
 // Keeps nothing: operations are held by whoever leads, and forgotten with the term.
-class UnrecordedLedger : public Ledger {
+class TransientOperationLog : public OperationLog {
  public:
   void load(std::function<void(std::vector<Operation>)> done) override { done({}); }
   bool has_room() const override { return true; }
@@ -34,4 +34,4 @@
   void remove(const std::string&) override {}
 };
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/machine_operations.cpp
+++ b/src/provisioning/operation_runner.cpp
@@ -1,10 +1,10 @@
-#include "duties/machine_operations.hpp"
+#include "provisioning/operation_runner.hpp"
 
 #include <algorithm>
 
 #include "base/log.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 namespace {
 
 constexpr auto kSendAgain =
@@ -18,19 +18,19 @@
 
 }  // namespace
 
-MachineOperations::MachineOperations(Runtime& runtime, cloud::Cloud& cloud,
-                                     const Settings& settings, const Authority& authority,
-                                     std::shared_ptr<Ledger> ledger)
+OperationRunner::OperationRunner(Runtime& runtime, cloud::Cloud& cloud, const Settings& settings,
+                                 const FencingAuthority& authority,
+                                 std::shared_ptr<OperationLog> operation_log)
     : runtime_(runtime),
       cloud_(cloud),
       settings_(settings),
       authority_(authority),
-      ledger_(std::move(ledger)) {}
+      operation_log_(std::move(operation_log)) {}
 
-void MachineOperations::start(Events events, std::function<void()> loaded) {
+void OperationRunner::start(Events events, std::function<void()> loaded) {
   events_ = std::move(events);
-  ledger_->load([self = weak_from_this(),
-                 loaded = std::move(loaded)](const std::vector<Operation>& operations) {
+  operation_log_->load([self = weak_from_this(),
+                        loaded = std::move(loaded)](const std::vector<Operation>& operations) {
     const auto o = self.lock();
     if (!o || o->stopped_) return;
     o->on_loaded(operations);
@@ -38,15 +38,15 @@
   });
 }
 
-void MachineOperations::on_loaded(const std::vector<Operation>& operations) {
+void OperationRunner::on_loaded(const std::vector<Operation>& operations) {
   loaded_ = true;
   for (const auto& operation : operations) adopt(operation);
 }
 
 // An operation of an earlier holder.
-void MachineOperations::adopt(const Operation& o) {
+void OperationRunner::adopt(const Operation& o) {
   if (o.kind == OperationKind::Return) events_.found_return(o);
-  if (o.state == OperationState::Intended) {
+  if (o.state == OperationState::Pending) {
     log_event("resumed", o);
     open_[o.name] = o;
     inherited_.insert(o.name);
@@ -59,27 +59,27 @@
     events_.returned(o);
     remove_later(o.name);
   } else if (is_over(o.state)) {
-    ledger_->remove(o.name);
+    operation_log_->remove(o.name);
   }
 }
 
-bool MachineOperations::may_begin() const {
+bool OperationRunner::may_begin() const {
   return loaded_ && inherited_.empty() && authority_.lease_valid() && !authority_.paused() &&
-         ledger_->has_room();
+         operation_log_->has_room();
 }
 
-bool MachineOperations::returning() const {
+bool OperationRunner::returning() const {
   return std::any_of(open_.begin(), open_.end(),
                      [](const auto& o) { return o.second.kind == OperationKind::Return; });
 }
 
 // Names carry the token and a counter: never used again, not even by another node.
-std::string MachineOperations::next_name(char prefix) {
+std::string OperationRunner::next_name(char prefix) {
   return std::string(1, prefix) + "-" + std::to_string(authority_.token()) + "-" +
          std::to_string(++begun_);
 }
 
-void MachineOperations::rent(const Rental& rental) {
+void OperationRunner::rent(const Rental& rental) {
   Operation operation;
   operation.name = next_name('r');
   operation.kind = OperationKind::Rent;
@@ -87,7 +87,7 @@
   begin(std::move(operation));
 }
 
-void MachineOperations::give_back(const Returns& returns) {
+void OperationRunner::give_back(const Returns& returns) {
   Operation operation;
   operation.name = next_name('d');
   operation.kind = OperationKind::Return;
@@ -95,14 +95,14 @@
   begin(std::move(operation));
 }
 
-void MachineOperations::begin(Operation operation) {
+void OperationRunner::begin(Operation operation) {
   cloud_.count_call();
   operation.token = authority_.token();
   operation.holder = settings_.node;
   operation.begun = runtime_.wall();
   open_[operation.name] = operation;
   log_event("begun", operation);
-  ledger_->begin(operation, [self = weak_from_this(), name = operation.name](bool durable) {
+  operation_log_->begin(operation, [self = weak_from_this(), name = operation.name](bool durable) {
     const auto o = self.lock();
     if (!o || o->stopped_) return;
     if (durable) {
@@ -115,12 +115,12 @@
 }
 
 // `counted`: whether the call has been taken from the cloud's limit.
-void MachineOperations::send(const std::string& name, bool counted) {
+void OperationRunner::send(const std::string& name, bool counted) {
   const auto it = open_.find(name);
   if (it == open_.end()) return;
   // A holder that has been replaced orders nothing. That it may still believe to be in charge, or
-  // that the packet leaves late, does no harm: the order stands in the ledger, and its successor
-  // completes it under the same name.
+  // that the packet leaves late, does no harm: the order stands in the operation log, and its
+  // successor completes it under the same name.
   if (!authority_.lease_valid() || (!counted && !cloud_.may_call())) {
     send_later(name, kSendAgain);
     return;
@@ -134,13 +134,13 @@
   }
 }
 
-void MachineOperations::send_later(const std::string& name, Duration delay) {
+void OperationRunner::send_later(const std::string& name, Duration delay) {
   runtime_.after(delay, [self = weak_from_this(), name] {
     if (const auto o = self.lock(); o && !o->stopped_) o->send(name, false);
   });
 }
 
-void MachineOperations::send_rental(const Operation& operation) {
+void OperationRunner::send_rental(const Operation& operation) {
   const Rental& rental = operation.rental;
   wire::RentalRequest request{operation.name, rental.type, rental.zone, rental.spot, rental.count};
   if (authority_.offers_token()) request.token = authority_.token();
@@ -151,21 +151,21 @@
   });
 }
 
-void MachineOperations::rental_answered(const std::string& name,
-                                        const cloud::Cloud::RentResult& result) {
+void OperationRunner::rental_answered(const std::string& name,
+                                      const cloud::Cloud::RentResult& result) {
   using Outcome = cloud::Cloud::RentResult::Outcome;
   switch (result.outcome) {
     case Outcome::Rented: {
       open_.at(name).machines = result.machines;
       const Operation granted = finish(name, OperationState::Granted);
-      ledger_->update(granted);
+      operation_log_->update(granted);
       events_.granted(granted);
       keep_granted(granted);
       break;
     }
     case Outcome::NoCapacity: {
       const Operation refused = finish(name, OperationState::Refused);
-      ledger_->remove(name);
+      operation_log_->remove(name);
       events_.refused(refused);
       break;
     }
@@ -181,17 +181,17 @@
 }
 
 // The cloud was over its limit, or in trouble: surely not carried out this time.
-void MachineOperations::withdraw_or_repeat(const std::string& name) {
+void OperationRunner::withdraw_or_repeat(const std::string& name) {
   if (unanswered_.count(name) != 0) {
     send_later(name, kRepeatRental);
     return;
   }
   const Operation withdrawn = finish(name, OperationState::Withdrawn);
-  ledger_->remove(name);
+  operation_log_->remove(name);
   events_.refused(withdrawn);
 }
 
-void MachineOperations::send_return(const Operation& operation) {
+void OperationRunner::send_return(const Operation& operation) {
   wire::ReturnOrder order;
   for (const auto& [machine, reason] : operation.returns) order.machines.push_back(machine);
   if (authority_.offers_token()) {
@@ -205,20 +205,20 @@
       });
 }
 
-void MachineOperations::return_answered(const std::string& name,
-                                        cloud::Cloud::ReturnOutcome outcome) {
+void OperationRunner::return_answered(const std::string& name,
+                                      cloud::Cloud::ReturnOutcome outcome) {
   if (outcome != cloud::Cloud::ReturnOutcome::Gone) {
     send_later(name, kRepeatReturn);
     return;
   }
   const Operation confirmed = finish(name, OperationState::Confirmed);
-  ledger_->update(confirmed);
+  operation_log_->update(confirmed);
   remove_later(name);
   events_.returned(confirmed);
 }
 
 // It is answered, and open no more.
-Operation MachineOperations::finish(const std::string& name, OperationState state) {
+Operation OperationRunner::finish(const std::string& name, OperationState state) {
   const auto it = open_.find(name);
   Operation out = std::move(it->second);
   out.state = state;
@@ -229,29 +229,29 @@
   return out;
 }
 
-void MachineOperations::keep_granted(const Operation& operation) {
+void OperationRunner::keep_granted(const Operation& operation) {
   for (const auto& machine : operation.machines) unsettled_[machine] = operation.name;
-  if (operation.machines.empty()) ledger_->remove(operation.name);
+  if (operation.machines.empty()) operation_log_->remove(operation.name);
 }
 
-void MachineOperations::settle(const std::string& machine) {
+void OperationRunner::settle(const std::string& machine) {
   const auto it = unsettled_.find(machine);
   if (it == unsettled_.end()) return;
   const std::string name = std::move(it->second);
   unsettled_.erase(it);
   const bool others = std::any_of(unsettled_.begin(), unsettled_.end(),
                                   [&](const auto& u) { return u.second == name; });
-  if (!others) ledger_->remove(name);
+  if (!others) operation_log_->remove(name);
 }
 
-void MachineOperations::remove_later(const std::string& name) {
+void OperationRunner::remove_later(const std::string& name) {
   runtime_.after(settings_.list_lag * kListLags + kKeptReturn, [self = weak_from_this(), name] {
-    if (const auto o = self.lock(); o && !o->stopped_) o->ledger_->remove(name);
+    if (const auto o = self.lock(); o && !o->stopped_) o->operation_log_->remove(name);
   });
 }
 
-// The heartbeat of who did what is made from these lines: see docs/operations/machine-duties.md.
-void MachineOperations::log_event(std::string_view event, const Operation& o) {
+// Operators trace who did what by these lines: see docs/operations/provisioning.md.
+void OperationRunner::log_event(std::string_view event, const Operation& o) {
   if (o.kind == OperationKind::Rent) {
     log::info("operation {} {}: rent {} of {} {} in {}, granted {}", o.name, event, o.rental.count,
               o.rental.spot ? "spot" : "ordinary", o.rental.type, o.rental.zone, o.machines.size());
@@ -265,4 +265,4 @@
   log::info("operation {} {}: return {}", o.name, event, machines);
 }
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/machine_operations.hpp
+++ b/src/provisioning/operation_runner.hpp
@@ -12,13 +12,13 @@
 #include "base/runtime.hpp"
 #include "base/settings.hpp"
 #include "cloud/cloud.hpp"
-#include "duties/authority.hpp"
-#include "duties/ledger.hpp"
-#include "duties/operation.hpp"
+#include "provisioning/fencing_authority.hpp"
+#include "provisioning/operation.hpp"
+#include "provisioning/operation_log.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 
-class MachineOperations : public std::enable_shared_from_this<MachineOperations> {
+class OperationRunner : public std::enable_shared_from_this<OperationRunner> {
  public:
   // What the term is told of. Operations of earlier holders are told of like its own.
   struct Events {
@@ -29,10 +29,10 @@
     std::function<void(const Operation&)> returned;
   };
 
-  MachineOperations(Runtime& runtime, cloud::Cloud& cloud, const Settings& settings,
-                    const Authority& authority, std::shared_ptr<Ledger> ledger);
-  // Reads the ledger, and completes what is open. `loaded` is called once all open returns have
-  // been told of.
+  OperationRunner(Runtime& runtime, cloud::Cloud& cloud, const Settings& settings,
+                  const FencingAuthority& authority, std::shared_ptr<OperationLog> operation_log);
+  // Reads the operation log, and completes what is open. `loaded` is called once all open returns
+  // have been told of.
   void start(Events events, std::function<void()> loaded);
   void stop() { stopped_ = true; }
 
@@ -47,7 +47,7 @@
   bool returning() const;
   // Granted machines that are neither on the machine registry nor known to be gone.
   const std::map<std::string, std::string>& unsettled() const { return unsettled_; }
-  // The machine is on the machine registry, or gone: the ledger need not name it any more.
+  // The machine is on the machine registry, or gone: the operation log need not name it any more.
   void settle(const std::string& machine);
 
  private:
@@ -70,8 +70,8 @@
   Runtime& runtime_;
   cloud::Cloud& cloud_;
   const Settings& settings_;
-  const Authority& authority_;
-  std::shared_ptr<Ledger> ledger_;
+  const FencingAuthority& authority_;
+  std::shared_ptr<OperationLog> operation_log_;
   Events events_;
   bool stopped_ = false, loaded_ = false;
   std::uint64_t begun_ = 0;
@@ -81,4 +81,4 @@
   std::map<std::string, std::string> unsettled_;  // operation by machine
 };
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/machine_duties.cpp
+++ b/src/provisioning/provisioning_controller.cpp
@@ -1,8 +1,8 @@
-#include "duties/machine_duties.hpp"
+#include "provisioning/provisioning_controller.hpp"
 
 #include "base/log.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 namespace {
 
 constexpr auto kControlEvery = 5s;
@@ -12,7 +12,7 @@
   out.key = kLeaseKey;
   out.node = settings.node;
   out.ttl = leader_ttl(settings);
-  // What an earlier holder may still do stands in the ledger: waiting would gain nothing.
+  // What an earlier holder may still do stands in the operation log: waiting would gain nothing.
   out.contention_policy = lease::ContentionPolicy::TakeOver;
   // Only the leader: a leader that has been replaced and does not know it would take the lease
   // back.
@@ -22,9 +22,10 @@
 
 }  // namespace
 
-MachineDuties::MachineDuties(Runtime& runtime, store::Store& store, cloud::Cloud& cloud,
-                             const Settings& settings, const leader::Election& election,
-                             bool recorded, std::function<void()> hand_over)
+ProvisioningController::ProvisioningController(Runtime& runtime, store::Store& store,
+                                               cloud::Cloud& cloud, const Settings& settings,
+                                               const leader::Election& election, bool recorded,
+                                               std::function<void()> hand_over)
     : runtime_(runtime),
       store_(store),
       cloud_(cloud),
@@ -36,52 +37,52 @@
                  lease::Events{[this](std::uint64_t token, bool) { acquired(token); }, [] {}});
 }
 
-std::shared_ptr<MachineOperations> MachineDuties::begin_term() {
-  std::shared_ptr<Ledger> ledger;
+std::shared_ptr<OperationRunner> ProvisioningController::begin_term() {
+  std::shared_ptr<OperationLog> operation_log;
   if (lease_) {
-    ledger_ = std::make_shared<StoredLedger>(runtime_, store_, *this);
-    ledger = ledger_;
+    operation_log_ = std::make_shared<StoredOperationLog>(runtime_, store_, *this);
+    operation_log = operation_log_;
     lease_->campaign();
   } else {
-    ledger = std::make_shared<UnrecordedLedger>();
+    operation_log = std::make_shared<TransientOperationLog>();
   }
-  operations_ =
-      std::make_shared<MachineOperations>(runtime_, cloud_, settings_, *this, std::move(ledger));
+  operations_ = std::make_shared<OperationRunner>(runtime_, cloud_, settings_, *this,
+                                                  std::move(operation_log));
   return operations_;
 }
 
-void MachineDuties::end_term() {
+void ProvisioningController::end_term() {
   if (operations_) operations_->stop();
-  if (ledger_) ledger_->stop();
+  if (operation_log_) operation_log_->stop();
   operations_.reset();
-  ledger_.reset();
+  operation_log_.reset();
   if (lease_) lease_->withdraw();
 }
 
-bool MachineDuties::lease_valid() const {
+bool ProvisioningController::lease_valid() const {
   return election_.lease_valid() && (!lease_ || lease_->lease_valid());
 }
 
-std::vector<wire::Condition> MachineDuties::guards() const {
+std::vector<wire::Condition> ProvisioningController::guards() const {
   std::vector<wire::Condition> out{election_.guard()};
   if (lease_) out.push_back(lease_->guard());
   return out;
 }
 
-void MachineDuties::renew_token() {
+void ProvisioningController::renew_token() {
   if (!lease_ || !lease_->held()) return;
   lease_->withdraw();
   lease_->campaign();
 }
 
-void MachineDuties::acquired(std::uint64_t token) {
+void ProvisioningController::acquired(std::uint64_t token) {
   log::info("duty machines is held with token {}", token);
   control_ = {};
   control_.paused = true;  // until it is known whether an operator has asked for it
   poll_control(token);
 }
 
-void MachineDuties::poll_control(std::uint64_t token) {
+void ProvisioningController::poll_control(std::uint64_t token) {
   if (!lease_->held() || lease_->token() != token) return;
   store_.get(kControlKey, [this, token](const store::ReadResult& r) {
     if (!lease_->held() || lease_->token() != token) return;
@@ -92,7 +93,7 @@
   });
 }
 
-void MachineDuties::read_control(const store::ReadResult& r) {
+void ProvisioningController::read_control(const store::ReadResult& r) {
   if (r.outcome == store::ReadOutcome::Unavailable) return;
   Control control;
   if (r.outcome == store::ReadOutcome::Found) {
@@ -116,7 +117,7 @@
   }
 }
 
-void MachineDuties::show_orphans(const std::vector<Orphan>& orphans) {
+void ProvisioningController::publish_orphans(const std::vector<OrphanedInstance>& orphans) {
   if (!lease_ || !lease_valid() || orphans == shown_orphans_) return;
   shown_orphans_ = orphans;
   wire::Txn txn;
@@ -128,4 +129,4 @@
   });
 }
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/machine_duties.hpp
+++ b/src/provisioning/provisioning_controller.hpp
@@ -9,30 +9,30 @@
 #include "base/runtime.hpp"
 #include "base/settings.hpp"
 #include "cloud/cloud.hpp"
-#include "duties/authority.hpp"
-#include "duties/machine_operations.hpp"
-#include "duties/records.hpp"
-#include "duties/stored_ledger.hpp"
 #include "leader/election.hpp"
 #include "lease/lease.hpp"
+#include "provisioning/fencing_authority.hpp"
+#include "provisioning/operation_runner.hpp"
+#include "provisioning/records.hpp"
+#include "provisioning/stored_operation_log.hpp"
 #include "store/store.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 
-class MachineDuties : public Authority {
+class ProvisioningController : public FencingAuthority {
  public:
-  // `recorded`: whether the duty has a lease and a ledger; if not, whoever leads holds it, and no
-  // record is kept. `hand_over` is called when an operator asks for it.
-  MachineDuties(Runtime& runtime, store::Store& store, cloud::Cloud& cloud,
-                const Settings& settings, const leader::Election& election, bool recorded,
-                std::function<void()> hand_over);
+  // `recorded`: whether the provisioning lease has a lease and a operation log; if not, whoever
+  // leads holds it, and no record is kept. `hand_over` is called when an operator asks for it.
+  ProvisioningController(Runtime& runtime, store::Store& store, cloud::Cloud& cloud,
+                         const Settings& settings, const leader::Election& election, bool recorded,
+                         std::function<void()> hand_over);
 
   // The operations of the term that begins; started by the caller.
-  std::shared_ptr<MachineOperations> begin_term();
+  std::shared_ptr<OperationRunner> begin_term();
   void end_term();
 
   // For operators to look at; written when it has changed.
-  void show_orphans(const std::vector<Orphan>& orphans);
+  void publish_orphans(const std::vector<OrphanedInstance>& orphans);
 
   bool lease_valid() const override;
   bool paused() const override { return control_.paused; }
@@ -52,12 +52,13 @@
   const Settings& settings_;
   const leader::Election& election_;
   std::function<void()> hand_over_;
-  std::optional<lease::Lease> lease_;  // none: the duty is the leader's, without records
-  std::shared_ptr<StoredLedger> ledger_;
-  std::shared_ptr<MachineOperations> operations_;
+  std::optional<lease::Lease>
+      lease_;  // none: the provisioning lease is the leader's, without records
+  std::shared_ptr<StoredOperationLog> operation_log_;
+  std::shared_ptr<OperationRunner> operations_;
   Control control_;
   bool bad_control_told_ = false;
-  std::vector<Orphan> shown_orphans_;
+  std::vector<OrphanedInstance> shown_orphans_;
 };
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/records.cpp
+++ b/src/provisioning/records.cpp
@@ -1,22 +1,22 @@
-#include "duties/records.hpp"
+#include "provisioning/records.hpp"
 
 #include <array>
 
 #include "store/records.hpp"
 #include "wire/cloud.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 namespace {
 
 using wire::BadMessage;
 using wire::Json;
 
-constexpr std::array<std::pair<Orphan::State, std::string_view>, 5> kOrphanStates{
-    {{Orphan::State::Waiting, "waiting"},
-     {Orphan::State::InUse, "in use"},
-     {Orphan::State::Returned, "returned"},
-     {Orphan::State::Vanished, "vanished"},
-     {Orphan::State::NeverAppeared, "never appeared"}}};
+constexpr std::array<std::pair<OrphanedInstance::State, std::string_view>, 5> kOrphanStates{
+    {{OrphanedInstance::State::Waiting, "waiting"},
+     {OrphanedInstance::State::InUse, "in use"},
+     {OrphanedInstance::State::Returned, "returned"},
+     {OrphanedInstance::State::Vanished, "vanished"},
+     {OrphanedInstance::State::NeverAppeared, "never appeared"}}};
 
 std::uint64_t to_ms(WallTime time) {
   const auto ms = std::chrono::duration_cast<milliseconds>(time.time_since_epoch()).count();
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-std::string ledger_key(const std::string& name) { return kLedgerPrefix + name; }
+std::string operation_key(const std::string& name) { return kOperationPrefix + name; }
 
 Json encode_operation(const Operation& o) {
   Json out = {{"form", store::kRecordForm}, {"kind", word(o.kind)}, {"state", word(o.state)},
@@ -95,15 +95,15 @@
 Operation decode_operation(const std::string& key, const Json& value) {
   if (!value.is_object()) throw BadMessage("an object is needed");
   store::require_known_form(value);
-  const std::string_view prefix = kLedgerPrefix;
+  const std::string_view prefix = kOperationPrefix;
   if (!key.starts_with(prefix) || key.size() == prefix.size()) throw BadMessage("no name");
   Operation out;
   out.name = key.substr(prefix.size());
   out.kind = known(kind_of, value, "kind");
   out.state = known(state_of, value, "state");
   const bool of_any_kind =
-      out.state == OperationState::Intended || out.state == OperationState::Settled;
-  if (!of_any_kind && !is_legal(out.kind, OperationState::Intended, out.state)) {
+      out.state == OperationState::Pending || out.state == OperationState::Settled;
+  if (!of_any_kind && !is_legal(out.kind, OperationState::Pending, out.state)) {
     throw BadMessage("state is not one of this kind");
   }
   out.token = wire::integer(value, "token");
@@ -135,14 +135,14 @@
   return out;
 }
 
-std::string_view word(Orphan::State state) {
+std::string_view word(OrphanedInstance::State state) {
   for (const auto& [each, word] : kOrphanStates) {
     if (each == state) return word;
   }
   return "";
 }
 
-Json encode_orphans(const std::vector<Orphan>& orphans) {
+Json encode_orphans(const std::vector<OrphanedInstance>& orphans) {
   Json list = Json::array();
   for (const auto& o : orphans) {
     list.push_back({{"machine", o.machine}, {"state", word(o.state)}, {"since", to_ms(o.since)}});
@@ -150,13 +150,13 @@
   return {{"form", store::kRecordForm}, {"orphans", std::move(list)}};
 }
 
-std::vector<Orphan> decode_orphans(const Json& value) {
+std::vector<OrphanedInstance> decode_orphans(const Json& value) {
   if (!value.is_object()) throw BadMessage("an object is needed");
   store::require_known_form(value);
-  std::vector<Orphan> out;
+  std::vector<OrphanedInstance> out;
   for (const auto& item : wire::list(value, "orphans")) {
     const auto parse = [](std::string_view text) {
-      std::optional<Orphan::State> state;
+      std::optional<OrphanedInstance::State> state;
       for (const auto& [each, word] : kOrphanStates) {
         if (word == text) state = each;
       }
@@ -168,4 +168,4 @@
   return out;
 }
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/stored_ledger.cpp
+++ b/src/provisioning/stored_operation_log.cpp
@@ -1,9 +1,9 @@
-#include "duties/stored_ledger.hpp"
+#include "provisioning/stored_operation_log.hpp"
 
 #include "base/log.hpp"
-#include "duties/records.hpp"
+#include "provisioning/records.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 namespace {
 
 constexpr auto kRetry = 500ms;
@@ -15,14 +15,14 @@
 
 // Wraps a callback so that it does nothing once the term is over.
 template <typename Action>
-auto StoredLedger::while_running(Action action) {
+auto StoredOperationLog::while_running(Action action) {
   return [self = weak_from_this(), action = std::move(action)](const auto&... answer) {
-    const auto ledger = self.lock();
-    if (ledger && !ledger->stopped_) action(*ledger, answer...);
+    const auto operation_log = self.lock();
+    if (operation_log && !operation_log->stopped_) action(*operation_log, answer...);
   };
 }
 
-std::vector<Operation> StoredLedger::decode(const std::vector<wire::Item>& items) {
+std::vector<Operation> StoredOperationLog::decode(const std::vector<wire::Item>& items) {
   std::vector<Operation> out;
   for (const auto& item : items) {
     try {
@@ -36,34 +36,35 @@
   return out;
 }
 
-void StoredLedger::load(std::function<void(std::vector<Operation>)> done) {
-  store_.list(kLedgerPrefix, while_running([done](StoredLedger& self, const store::ListResult& r) {
-                if (!r.ok) {
-                  self.runtime_.after(kRetry, self.while_running([done](StoredLedger& ledger) {
-                    ledger.load(done);
-                  }));
-                  return;
-                }
-                auto operations = self.decode(r.items);
-                for (const auto& o : operations) self.entries_[o.name].wanted = o;
-                for (const auto& item : r.items) {
-                  const auto name = item.key.substr(std::string_view(kLedgerPrefix).size());
-                  const auto entry = self.entries_.find(name);
-                  if (entry != self.entries_.end()) entry->second.version = item.version;
-                }
-                self.sweep_later();
-                done(std::move(operations));
-              }));
+void StoredOperationLog::load(std::function<void(std::vector<Operation>)> done) {
+  store_.list(
+      kOperationPrefix, while_running([done](StoredOperationLog& self, const store::ListResult& r) {
+        if (!r.ok) {
+          self.runtime_.after(kRetry, self.while_running([done](StoredOperationLog& operation_log) {
+            operation_log.load(done);
+          }));
+          return;
+        }
+        auto operations = self.decode(r.items);
+        for (const auto& o : operations) self.entries_[o.name].wanted = o;
+        for (const auto& item : r.items) {
+          const auto name = item.key.substr(std::string_view(kOperationPrefix).size());
+          const auto entry = self.entries_.find(name);
+          if (entry != self.entries_.end()) entry->second.version = item.version;
+        }
+        self.sweep_later();
+        done(std::move(operations));
+      }));
 }
 
-void StoredLedger::begin(const Operation& operation, std::function<void(bool durable)> done) {
+void StoredOperationLog::begin(const Operation& operation, std::function<void(bool durable)> done) {
   Entry& entry = entries_[operation.name];
   entry.wanted = operation;
   entry.begun = std::move(done);
   write(operation.name);
 }
 
-void StoredLedger::update(const Operation& operation) {
+void StoredOperationLog::update(const Operation& operation) {
   const auto it = entries_.find(operation.name);
   if (it == entries_.end()) return;
   if (!is_legal(operation.kind, it->second.wanted.state, operation.state)) {
@@ -75,7 +76,7 @@
   write(operation.name);
 }
 
-void StoredLedger::remove(const std::string& name) {
+void StoredOperationLog::remove(const std::string& name) {
   const auto it = entries_.find(name);
   if (it == entries_.end()) return;
   it->second.removing = true;
@@ -84,35 +85,37 @@
 }
 
 // One write of a record is under way at a time: the next one needs the version that it gets.
-void StoredLedger::write(const std::string& name) {
+void StoredOperationLog::write(const std::string& name) {
   Entry& entry = entries_.at(name);
   if (entry.writing) return;
   entry.writing = true;
   entry.dirty = false;
   wire::Txn txn;
   txn.conditions = authority_.guards();
-  txn.conditions.push_back({ledger_key(name), entry.version});
+  txn.conditions.push_back({operation_key(name), entry.version});
   if (entry.removing && entry.doubtful) entry.wanted.state = OperationState::Settled;
   const bool removal = entry.removing && !entry.doubtful;
   if (removal) {
-    txn.changes.push_back({ledger_key(name), std::nullopt});
+    txn.changes.push_back({operation_key(name), std::nullopt});
   } else {
-    txn.changes.push_back({ledger_key(name), encode_operation(entry.wanted)});
+    txn.changes.push_back({operation_key(name), encode_operation(entry.wanted)});
   }
   const auto urgency = entry.begun ? store::Urgency::Order : store::Urgency::Lazy;
-  store_.write(std::move(txn), urgency,
-               while_running([name, removal](StoredLedger& self, const store::WriteResult& r) {
-                 self.written(name, removal, r);
-               }));
+  store_.write(
+      std::move(txn), urgency,
+      while_running([name, removal](StoredOperationLog& self, const store::WriteResult& r) {
+        self.written(name, removal, r);
+      }));
 }
 
-void StoredLedger::write_later(const std::string& name) {
-  runtime_.after(kRetry, while_running([name](StoredLedger& self) {
+void StoredOperationLog::write_later(const std::string& name) {
+  runtime_.after(kRetry, while_running([name](StoredOperationLog& self) {
                    if (self.entries_.count(name) != 0) self.write(name);
                  }));
 }
 
-void StoredLedger::written(const std::string& name, bool removal, const store::WriteResult& r) {
+void StoredOperationLog::written(const std::string& name, bool removal,
+                                 const store::WriteResult& r) {
   const auto it = entries_.find(name);
   if (it == entries_.end()) return;
   it->second.writing = false;
@@ -134,7 +137,7 @@
   }
 }
 
-void StoredLedger::committed(const std::string& name, bool removal, std::uint64_t revision) {
+void StoredOperationLog::committed(const std::string& name, bool removal, std::uint64_t revision) {
   Entry& entry = entries_.at(name);
   if (removal) {
     entries_.erase(name);
@@ -148,7 +151,7 @@
   if (it != entries_.end() && it->second.dirty) write(name);
 }
 
-void StoredLedger::not_done(const std::string& name) {
+void StoredOperationLog::not_done(const std::string& name) {
   Entry& entry = entries_.at(name);
   if (!entry.begun || entry.doubtful) {
     write_later(name);
@@ -159,22 +162,22 @@
   begun(false);
 }
 
-void StoredLedger::read_back(const std::string& name) {
+void StoredOperationLog::read_back(const std::string& name) {
   entries_.at(name).writing = true;
-  store_.get(ledger_key(name),
-             while_running([name](StoredLedger& self, const store::ReadResult& r) {
+  store_.get(operation_key(name),
+             while_running([name](StoredOperationLog& self, const store::ReadResult& r) {
                self.read_back_answer(name, r);
              }));
 }
 
-void StoredLedger::read_back_answer(const std::string& name, const store::ReadResult& r) {
+void StoredOperationLog::read_back_answer(const std::string& name, const store::ReadResult& r) {
   const auto it = entries_.find(name);
   if (it == entries_.end()) return;
   Entry& entry = it->second;
   entry.writing = false;
   if (r.outcome == store::ReadOutcome::Unavailable) {
     entry.writing = true;
-    runtime_.after(kRetry, while_running([name](StoredLedger& self) {
+    runtime_.after(kRetry, while_running([name](StoredOperationLog& self) {
                      if (self.entries_.count(name) != 0) self.read_back(name);
                    }));
     return;
@@ -197,13 +200,13 @@
   }
 }
 
-void StoredLedger::sweep_later() {
-  runtime_.after(kSweepEvery, while_running([](StoredLedger& self) { self.sweep(); }));
+void StoredOperationLog::sweep_later() {
+  runtime_.after(kSweepEvery, while_running([](StoredOperationLog& self) { self.sweep(); }));
 }
 
 // Removes settled records whose beginning cannot be carried out any more: its guards name a token
 // that has gone by.
-void StoredLedger::sweep() {
+void StoredOperationLog::sweep() {
   sweep_later();
   if (!authority_.lease_valid()) return;
   std::ptrdiff_t settled = 0;
@@ -217,4 +220,4 @@
   if (settled > kMostSettled) authority_.renew_token();
 }
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/duties/stored_ledger.hpp
+++ b/src/provisioning/stored_operation_log.hpp
@@ -1,25 +1,26 @@
 #pragma once
-// The ledger in the state service. Every write is conditional on the authority's guards and on the
-// record's own version, so that one that is carried out late undoes nothing newer.
+// The operation log in the state service. Every write is conditional on the authority's guards and
+// on the record's own version, so that one that is carried out late undoes nothing newer.
 
 #include <map>
 #include <memory>
 #include <set>
 
 #include "base/runtime.hpp"
-#include "duties/authority.hpp"
-#include "duties/ledger.hpp"
+#include "provisioning/fencing_authority.hpp"
+#include "provisioning/operation_log.hpp"
 #include "store/store.hpp"
 
-namespace asterstair::duties {
+namespace asterstair::provisioning {
 
 // Records at a time, open ones and those kept for a while; at most value_kb each, mostly some 300
 // bytes.
 inline constexpr std::size_t kMostRecords = 512;
 
-class StoredLedger : public Ledger, public std::enable_shared_from_this<StoredLedger> {
+class StoredOperationLog : public OperationLog,
+                           public std::enable_shared_from_this<StoredOperationLog> {
  public:
-  StoredLedger(Runtime& runtime, store::Store& store, Authority& authority)
+  StoredOperationLog(Runtime& runtime, store::Store& store, FencingAuthority& authority)
       : runtime_(runtime), store_(store), authority_(authority) {}
 
   void load(std::function<void(std::vector<Operation>)> done) override;
@@ -58,10 +59,10 @@
 
   Runtime& runtime_;
   store::Store& store_;
-  Authority& authority_;
+  FencingAuthority& authority_;
   bool stopped_ = false;
   std::map<std::string, Entry> entries_;
   std::set<std::string> quarantined_;  // keys, told once
 };
 
-}  // namespace asterstair::duties
+}  // namespace asterstair::provisioning
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -26,7 +26,7 @@
   std::uint64_t token = 0;
   bool store_reachable = false;
   std::uint32_t store_age_ms = kUnknownAge;      // since the state service last answered it
-  std::uint64_t stepped_down_token = 0;                    // a token of its own that it has given up
+  std::uint64_t stepped_down_token = 0;          // a token of its own that it has given up
   std::vector<PeerCounts> counts;                // only the leader's
   std::vector<std::string> cancelled;            // jobs whose cancellation it has confirmed lately
   std::uint32_t heartbeat_age_ms = kUnknownAge;  // since a worker's heartbeat last reached it
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -8,7 +8,7 @@
 
 #include "base/features.hpp"
 #include "base/settings.hpp"
-#include "duties/records.hpp"
+#include "provisioning/records.hpp"
 #include "store/records.hpp"
 #include "wire/cloud.hpp"
 #include "wire/peer.hpp"
@@ -70,11 +70,11 @@
   EXPECT_EQ(store::final_key("req-1"), "final/req-1");
   EXPECT_EQ(store::progress_key("req-1", 3), "progress/req-1/3");
   EXPECT_EQ(store::machine_registry_key(2), "roster/2");
-  EXPECT_STREQ(duties::kLeaseKey, "duty/machines");
-  EXPECT_STREQ(duties::kLedgerPrefix, "ledger/machines/");
-  EXPECT_STREQ(duties::kOrphansKey, "orphans/machines");
-  EXPECT_STREQ(duties::kControlKey, "control/machines");
-  EXPECT_EQ(duties::ledger_key("r-41-1"), "ledger/machines/r-41-1");
+  EXPECT_STREQ(provisioning::kLeaseKey, "duty/machines");
+  EXPECT_STREQ(provisioning::kOperationPrefix, "ledger/machines/");
+  EXPECT_STREQ(provisioning::kOrphansKey, "orphans/machines");
+  EXPECT_STREQ(provisioning::kControlKey, "control/machines");
+  EXPECT_EQ(provisioning::operation_key("r-41-1"), "ledger/machines/r-41-1");
 }
 
 TEST(StoredRecords, LiveJobKeepsItsForm) {
@@ -152,24 +152,27 @@
       R"("n-2":"faulty","n-3":"unreachable","n-4":"silent","n-5":"failed boot","n-6":"stopped",)"
       R"("n-7":"unlisted"},"state":"confirmed","token":42})"};
   for (const char* const literal : literals) {
-    const auto operation = duties::decode_operation("ledger/machines/r-41-1", wire::parse(literal));
+    const auto operation =
+        provisioning::decode_operation("ledger/machines/r-41-1", wire::parse(literal));
     EXPECT_EQ(operation.name, "r-41-1");
-    EXPECT_EQ(wire::dump(duties::encode_operation(operation)), literal);
+    EXPECT_EQ(wire::dump(provisioning::encode_operation(operation)), literal);
   }
 }
 
 TEST(StoredRecords, ControlAndOrphansKeepTheirForm) {
   const char* const control = R"({"form":1,"hand over from":41,"paused":true})";
-  EXPECT_EQ(wire::dump(duties::encode_control(duties::decode_control(wire::parse(control)))),
-            control);
+  EXPECT_EQ(
+      wire::dump(provisioning::encode_control(provisioning::decode_control(wire::parse(control)))),
+      control);
   const char* const orphans =
       R"({"form":1,"orphans":[{"machine":"n-1","since":1,"state":"waiting"},)"
       R"({"machine":"n-2","since":2,"state":"in use"},)"
       R"({"machine":"n-3","since":3,"state":"returned"},)"
       R"({"machine":"n-4","since":4,"state":"vanished"},)"
       R"({"machine":"n-5","since":5,"state":"never appeared"}]})";
-  EXPECT_EQ(wire::dump(duties::encode_orphans(duties::decode_orphans(wire::parse(orphans)))),
-            orphans);
+  EXPECT_EQ(
+      wire::dump(provisioning::encode_orphans(provisioning::decode_orphans(wire::parse(orphans)))),
+      orphans);
 }
 
 // ---- Users ----
@@ -477,9 +480,12 @@
   EXPECT_EQ(s.max_connections, 800U);
 }
 
-TEST(FeaturesFile, EveryFeatureIsRead) {
-  EXPECT_TRUE(parse_features("[features]\nmachine_duties = true\n").machine_duties);
-  EXPECT_FALSE(parse_features("[features]\nmachine_duties = false\n").machine_duties);
+TEST(FeaturesFile, EveryFeatureIsReadUnderItsPresentAndFormerNames) {
+  for (const char* const name : {"durable_provisioning", "machine_duties"}) {
+    const std::string section = "[features]\n" + std::string(name);
+    EXPECT_TRUE(parse_features(section + " = true\n").durable_provisioning) << name;
+    EXPECT_FALSE(parse_features(section + " = false\n").durable_provisioning) << name;
+  }
 }
 
 }  // namespace
--- a/tests/load/duty_takeover.cpp
+++ b/tests/load/provisioning_failover.cpp
@@ -1,5 +1,6 @@
 // Time from the end of the node that rents machines to the first rental of its successor, and what
-// the ledger writes, over seeds in simulated time; with the duty's records and without.
+// the operation log writes, over seeds in simulated time; with the provisioning lease's records and
+// without.
 //
 // Usage: asterstair_duty_takeover [runs] [machines per pool]
 
--- a/tests/duty_records_test.cpp
+++ b/tests/provisioning_records_test.cpp
@@ -5,12 +5,12 @@
 #include <random>
 
 #include "base/features.hpp"
-#include "duties/records.hpp"
+#include "provisioning/records.hpp"
 
 namespace {
 
 using namespace asterstair;
-using namespace asterstair::duties;
+using namespace asterstair::provisioning;
 using wire::Json;
 
 Operation rental() {
@@ -39,7 +39,7 @@
   auto confirmed = give_back();
   confirmed.state = OperationState::Confirmed;
   for (const auto& o : {rental(), granted, give_back(), confirmed}) {
-    EXPECT_EQ(decode_operation(ledger_key(o.name), encode_operation(o)), o) << o.name;
+    EXPECT_EQ(decode_operation(operation_key(o.name), encode_operation(o)), o) << o.name;
   }
 }
 
@@ -50,14 +50,14 @@
       if (field == "form") continue;  // of the first form when absent
       Json without = whole;
       without.erase(field);
-      EXPECT_THROW(decode_operation(ledger_key(o.name), without), wire::BadMessage) << field;
+      EXPECT_THROW(decode_operation(operation_key(o.name), without), wire::BadMessage) << field;
       Json other = whole;
       other[field] = Json::array({1});
-      EXPECT_THROW(decode_operation(ledger_key(o.name), other), wire::BadMessage) << field;
+      EXPECT_THROW(decode_operation(operation_key(o.name), other), wire::BadMessage) << field;
     }
     Json newer = whole;
     newer["form"] = 2;
-    EXPECT_THROW(decode_operation(ledger_key(o.name), newer), wire::BadMessage);
+    EXPECT_THROW(decode_operation(operation_key(o.name), newer), wire::BadMessage);
     EXPECT_THROW(decode_operation("ledger/machines/", whole), wire::BadMessage);
   }
   Json wrong_kind = encode_operation(give_back());
@@ -80,7 +80,7 @@
     if (value.is_discarded()) continue;
     try {
       const auto o = decode_operation("ledger/machines/r-41-1", value);
-      EXPECT_EQ(decode_operation(ledger_key(o.name), encode_operation(o)), o) << text;
+      EXPECT_EQ(decode_operation(operation_key(o.name), encode_operation(o)), o) << text;
       ++read;
     } catch (const wire::BadMessage&) {
       ++refused;
@@ -92,17 +92,15 @@
 
 TEST(OperationState, GoesOnlyWhereItMay) {
   using S = OperationState;
-  constexpr S kAll[] = {S::Intended,  S::Granted,   S::Refused,
-                        S::Withdrawn, S::Confirmed, S::Settled};
+  constexpr S kAll[] = {S::Pending, S::Granted, S::Refused, S::Withdrawn, S::Confirmed, S::Settled};
   for (const S from : kAll) {
     for (const S to : kAll) {
-      const bool result = from != S::Intended && from != S::Settled;
+      const bool result = from != S::Pending && from != S::Settled;
       const bool settles = result && to == S::Settled;
       const bool rented = to == S::Granted || to == S::Refused || to == S::Withdrawn;
-      EXPECT_EQ(is_legal(OperationKind::Rent, from, to),
-                settles || (from == S::Intended && rented));
+      EXPECT_EQ(is_legal(OperationKind::Rent, from, to), settles || (from == S::Pending && rented));
       EXPECT_EQ(is_legal(OperationKind::Return, from, to),
-                settles || (from == S::Intended && to == S::Confirmed));
+                settles || (from == S::Pending && to == S::Confirmed));
     }
   }
 }
@@ -117,9 +115,9 @@
 }
 
 TEST(Features, AreReadOrRefusedWithTheFieldNamed) {
-  EXPECT_TRUE(parse_features("[features]\nmachine_duties = true\n").machine_duties);
-  EXPECT_FALSE(parse_features("[features]\nmachine_duties = false\n").machine_duties);
-  EXPECT_FALSE(parse_features("[features]\n").machine_duties);
+  EXPECT_TRUE(parse_features("[features]\nmachine_duties = true\n").durable_provisioning);
+  EXPECT_FALSE(parse_features("[features]\nmachine_duties = false\n").durable_provisioning);
+  EXPECT_FALSE(parse_features("[features]\n").durable_provisioning);
   EXPECT_NE(refusal("[features]\nmachine_dutys = true").find("features.machine_dutys"),
             std::string::npos);
   EXPECT_NE(refusal("[features]\nmachine_duties = 1").find("features.machine_duties"),
--- a/tests/duties_test.cpp
+++ b/tests/provisioning_test.cpp
@@ -1,30 +1,31 @@
-// The machine duty in trouble, one trouble at a time: its lease, its ledger, and the cloud.
+// The machine duty in trouble, one trouble at a time: its lease, its operation log, and the cloud.
 
 #include <gtest/gtest.h>
 
 #include <sstream>
 
-#include "duties/console.hpp"
-#include "duties/records.hpp"
 #include "lease/lease.hpp"
+#include "provisioning/admin_commands.hpp"
+#include "provisioning/records.hpp"
 #include "sim/scenario.hpp"
 
 namespace {
 
 using namespace sim;
-using namespace asterstair::duties;
+using namespace asterstair::provisioning;
 
 std::string operations_in(const Scenario& s, const std::string& state) {
   std::string out;
   for (const auto& [key, value] : s.state.keys()) {
-    if (key.starts_with(kLedgerPrefix) && value.first.value("state", "") == state) out += key + " ";
+    if (key.starts_with(kOperationPrefix) && value.first.value("state", "") == state)
+      out += key + " ";
   }
   return out;
 }
 
 bool is_rental(const HttpRequest& r) { return r.target == "/machines" && r.method == "POST"; }
 bool is_ledger_write(const HttpRequest& r) {
-  return r.target == "/txn" && r.body.find(kLedgerPrefix) != std::string::npos;
+  return r.target == "/txn" && r.body.find(kOperationPrefix) != std::string::npos;
 }
 
 // Runs until the work is done and all machines are returned, with nothing left open.
@@ -43,7 +44,7 @@
 class HolderClock : public testing::TestWithParam<double> {};
 
 // Within the bound and far beyond it: a holder that counts its lease too long can begin nothing,
-// since its writes carry the token, and what it repeats stands in the ledger.
+// since its writes carry the token, and what it repeats stands in the operation log.
 TEST_P(HolderClock, DoesNoHarm) {
   Scenario s(81);
   s.cloud.checks_token = true;
@@ -90,7 +91,7 @@
   s.world.run_until(120);
   std::istringstream names(open);
   for (std::string key; names >> key;) {
-    const auto name = key.substr(std::string_view(kLedgerPrefix).size());
+    const auto name = key.substr(std::string_view(kOperationPrefix).size());
     EXPECT_EQ(s.cloud.orders.rentals_asked.count(name), 1U) << name << " was not completed";
   }
   expect_clean_end(s, {job}, 400);
@@ -110,7 +111,8 @@
   for (double t = 1; !returning_now() && t < 120; t += 0.5) s.world.run_until(t);
   std::set<std::string> returning;
   for (const auto& [key, value] : s.state.keys()) {
-    if (!key.starts_with(kLedgerPrefix) || value.first.value("state", "") != "intended") continue;
+    if (!key.starts_with(kOperationPrefix) || value.first.value("state", "") != "intended")
+      continue;
     for (const auto& [machine, reason] : value.first["machines"].items()) returning.insert(machine);
   }
   ASSERT_FALSE(returning.empty());
@@ -235,7 +237,7 @@
 
 Json control(bool paused, std::uint64_t from) { return encode_control({paused, from}); }
 
-std::uint64_t duty_token(const Scenario& s) {
+std::uint64_t provisioning_token(const Scenario& s) {
   const auto it = s.state.keys().find(kLeaseKey);
   return it == s.state.keys().end() ? 0 : it->second.second;
 }
@@ -248,7 +250,7 @@
   std::vector<std::string> jobs{s.submit(array(8, 20))};
   s.world.run_until(6);
   const int before = s.leader();
-  const auto token = duty_token(s);
+  const auto token = provisioning_token(s);
   ASSERT_NE(token, 0U);
   s.state.put(kControlKey, control(false, token));
   if (GetParam() == 1) {
@@ -260,7 +262,7 @@
     s.crash(s.leader(before), 60);
   }
   s.world.run_until(60);
-  EXPECT_GT(duty_token(s), token);
+  EXPECT_GT(provisioning_token(s), token);
   if (GetParam() != 2) {
     EXPECT_NE(s.leader(), before);
   }
@@ -284,12 +286,12 @@
 TEST(OperatorCommand, ShowsHolderOperationsAndWhatCannotBeReadAndPausesAndHandsOver) {
   Scenario s(95);
   const auto job = s.submit(array(8, 20));
-  s.state.put(std::string(kLedgerPrefix) + "x", Json::object());
+  s.state.put(std::string(kOperationPrefix) + "x", Json::object());
   s.world.run_until(12);
   SimRuntime runtime(s.world, "operator", [](const std::string&, const std::string&) {});
   const auto settings = parse_settings(settings_text(0, 3, {}));
   store::Store store(runtime, settings);
-  Console console(store);
+  AdminCommands admin_commands(store);
   std::string text;
   bool good = false;
   const auto done = [&](bool ok, const std::vector<std::string>& lines) {
@@ -297,27 +299,28 @@
     text.clear();
     for (const auto& line : lines) text += line + "\n";
   };
-  console.show(done);
+  admin_commands.show(done);
   s.world.run_until(13);
   EXPECT_TRUE(good);
   const int holder = s.leader();
-  EXPECT_NE(text.find("held by " + s.name(holder) + " with token " + std::to_string(duty_token(s))),
+  EXPECT_NE(text.find("held by " + s.name(holder) + " with token " +
+                      std::to_string(provisioning_token(s))),
             std::string::npos);
   EXPECT_NE(text.find("in service"), std::string::npos);
   EXPECT_NE(text.find("granted: rent"), std::string::npos);
   EXPECT_NE(text.find("ledger/machines/x cannot be read"), std::string::npos) << text;
-  console.pause(true, done);
+  admin_commands.pause(true, done);
   s.world.run_until(14);
   EXPECT_TRUE(good);
   EXPECT_EQ(s.state.keys().at(kControlKey).first["paused"], true);
-  console.pause(false, done);
+  admin_commands.pause(false, done);
   s.world.run_until(15);
-  console.hand_over(done);
+  admin_commands.hand_over(done);
   s.world.run_until(40);
   EXPECT_TRUE(good);
   EXPECT_NE(s.leader(), holder);
   s.state.outage(true);
-  console.show(done);
+  admin_commands.show(done);
   s.world.run_until(60);
   EXPECT_FALSE(good);
   s.state.outage(false);
@@ -329,7 +332,7 @@
 // Nothing is started for its sake, nothing ends, and the rest goes on.
 TEST_P(BadRecord, InTheLedgerIsQuarantined) {
   Scenario s(92);
-  const std::string key = std::string(kLedgerPrefix) + "r-1-1";
+  const std::string key = std::string(kOperationPrefix) + "r-1-1";
   const auto value = Json::parse(std::get<1>(GetParam()));
   s.state.put(key, value);
   const auto job = s.submit(array(8, 20));
