--- a/src/autoscale/inventory.cpp
+++ b/src/autoscale/inventory.cpp
@@ -53,10 +53,10 @@
     pending_[m.id] = {{m.type, m.zone, m.spot}, now - to_duration(m.age), now};
   }
   // Taken back or given up while it was coming.
-  const Duration patience = settings_.list_lag * kListLags + kListExtra;
+  const Duration timeout = settings_.list_lag * kListLags + kListExtra;
   for (auto it = pending_.begin(); it != pending_.end();) {
     const bool there = listed_last(it->first) || fleet.find(it->first) != nullptr;
-    if (there || now - it->second.first_seen <= patience) {
+    if (there || now - it->second.first_seen <= timeout) {
       ++it;
       continue;
     }
--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr Seconds kUnknownBoot{60};  // of a type that is not known
-constexpr double kBootPatience = 4;  // times the nominal boot time
+constexpr double kBootTimeout = 4;   // times the nominal boot time
 constexpr auto kBootExtra = 20s;
 constexpr double kIdleBoots = 1;     // an idle machine is kept so many boot times
 constexpr int kAwaitedBoots = 5;     // longer, while a gang may be waiting for it
 constexpr double kTightBoots = 2.5;  // boots may take that much longer than stated
-constexpr auto kTakeOverPatience = 4s;
+constexpr auto kFailoverTimeout = 4s;
 constexpr int kUnresponsiveLeases = 3;      // so long a machine may seem not to hear answers
 constexpr auto kLeaseExpiredTimeout = 20s;  // beyond the lease, before a silent machine is returned
 
@@ -29,7 +29,7 @@
   }
   // A take-over waits for every machine that may hold tasks. Of those that neither report nor are
   // listed, a return tells at once that they are gone, instead of their leases running out.
-  if (fleet_.reconciled() || now - first_list <= kTakeOverPatience) return;
+  if (fleet_.reconciled() || now - first_list <= kFailoverTimeout) return;
   for (const auto& [id, m] : fleet_.machines().all()) {
     if (!m.reconciled && !m.lease_expired && !inventory_.listed_last(id)) {
       due_.emplace(id, provisioning::ReturnReason::Unlisted);
@@ -77,7 +77,7 @@
 void ReturnPolicy::find_failed_boots(TimePoint now) {
   for (const auto& [id, p] : inventory_.pending()) {
     if (fleet_.machines().find(id) != nullptr) continue;
-    const auto boot = to_duration(boot_time(p.pool.type) * kBootPatience) + kBootExtra;
+    const auto boot = to_duration(boot_time(p.pool.type) * kBootTimeout) + kBootExtra;
     // A new leader first hears from the machines that are up.
     const bool failed = now - p.since > boot && now - p.first_seen > settings_.lease + kBootExtra;
     if (failed && due_.emplace(id, provisioning::ReturnReason::FailedBoot).second) {
--- a/src/fleet/gangs.cpp
+++ b/src/fleet/gangs.cpp
@@ -63,7 +63,7 @@
           if (read_answer && response.status == 200) {
             try {
               f->direct_answer(wire::decode_heartbeat(response.body));
-            } catch (const wire::BadMessage& e) {
+            } catch (const wire::DecodeError& e) {
               log::error("malformed answer to a direct command: {}", e.what());
             }
           }
--- a/src/fleet/loading.cpp
+++ b/src/fleet/loading.cpp
@@ -76,7 +76,7 @@
       f->versions_[item.key] = item.version;
       try {
         store::decode_chunk(*item.value, key->second, f->settings_.value_bytes, job->done);
-      } catch (const wire::BadMessage& e) {
+      } catch (const wire::DecodeError& e) {
         log::error("progress of {} is malformed: {}", key->first, e.what());
       }
       job->durable = job->done;
@@ -117,7 +117,7 @@
   std::set<std::string> chunk;
   try {
     for (auto& m : store::decode_machine_registry(*item.value)) chunk.insert(std::move(m));
-  } catch (const wire::BadMessage& e) {
+  } catch (const wire::DecodeError& e) {
     log::error("roster is malformed: {}", e.what());
   }
   for (const auto& id : chunk) {
@@ -186,7 +186,7 @@
       // Of jobs found when a term begins the arrival is not known; they count as new.
       arrivals_.push_back({runtime_.now(), job.spec, slack_of(job, remaining_of(job))});
     }
-  } catch (const wire::BadMessage& e) {
+  } catch (const wire::DecodeError& e) {
     log::error("live record {} is malformed: {}", item.key, e.what());
   }
 }
--- a/src/fleet/reports.cpp
+++ b/src/fleet/reports.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint32_t kMaxLostEpochs = 2;  // epochs in a row lost without a sign of hearing
 constexpr std::uint32_t kStartsUnseen = 2;   // answers in a row whose orders never showed
 // For so much of a lease, answers that bring the token are repeated.
-constexpr int kTokenPatience = 3, kTokenPatienceOf = 5;
+constexpr int kTokenTimeoutLeaseNumerator = 3, kTokenTimeoutLeaseDenominator = 5;
 constexpr auto kNoRoomPause = 3s;
 constexpr auto kFailedPause = 10s;            // of a machine whose last task failed
 constexpr std::uint32_t kFaultyJobs = 2;      // failures of so many jobs: the machine is at fault
@@ -105,7 +105,8 @@
 // arrive, and the later epoch may hold tasks that an earlier leader started.
 bool Fleet::never_sees_token(const Machine& m) const {
   return !m.reconciled && !m.lease_expired && m.first_answered &&
-         runtime_.now() - *m.first_answered > settings_.lease * kTokenPatience / kTokenPatienceOf;
+         runtime_.now() - *m.first_answered >
+             settings_.lease * kTokenTimeoutLeaseNumerator / kTokenTimeoutLeaseDenominator;
 }
 
 // The answer to a direct command shows at once what the next heartbeat would show: room that has
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -51,7 +51,7 @@
           Found found;
           try {
             found = {Found::Outcome::Live, store::decode_live(*r.item.value), r.item.version, {}};
-          } catch (const wire::BadMessage& e) {
+          } catch (const wire::DecodeError& e) {
             log::error("live record of {} is malformed: {}", id, e.what());
           }
           done(std::move(found));
@@ -71,14 +71,14 @@
                   found.final = store::decode_final(*f.item.value);
                   found.outcome = Found::Outcome::Final;
                   remember(id, found.final);
-                } catch (const wire::BadMessage& e) {
+                } catch (const wire::DecodeError& e) {
                   log::error("final record of {} is malformed: {}", id, e.what());
                 }
               }
               done(std::move(found));
             },
             std::max<Duration>(kSecondRead,
-                               store::kReadPatience + kSecondRead - (runtime_.now() - asked)));
+                               store::kReadTimeout + kSecondRead - (runtime_.now() - asked)));
       });
 }
 
@@ -138,7 +138,7 @@
     } else if (!catalog_.can_hold(job)) {
       refusal = failure(422, "a task fits no allowed machine type");
     }
-  } catch (const wire::BadMessage& e) {
+  } catch (const wire::DecodeError& e) {
     refusal = failure(400, e.what());
   }
   if (refusal.status == 0) {
--- a/src/lease/acquisition.cpp
+++ b/src/lease/acquisition.cpp
@@ -61,7 +61,7 @@
   store::HolderRecord record;
   try {
     record = store::decode_holder(*item.value);
-  } catch (const wire::BadMessage& e) {
+  } catch (const wire::DecodeError& e) {
     // Nobody's as far as can be told: followed until it changes or vanishes, never overwritten.
     log::error("lease record {} is malformed: {}", item.key, e.what());
     record = {};
@@ -128,7 +128,7 @@
                    if (r.outcome == store::ReadOutcome::Found) {
                      try {
                        ended = store::decode_previous_holders_expired(*r.item.value) == version;
-                     } catch (const wire::BadMessage& e) {
+                     } catch (const wire::DecodeError& e) {
                        log::error("{} is malformed: {}", options_.expiry_record_key, e.what());
                      }
                    }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -80,7 +80,7 @@
       if (r.outcome != store::ReadOutcome::Found || types_fresh_) return;
       try {
         catalog_.set(wire::decode_machine_types(wire::dump(*r.item.value)));
-      } catch (const wire::BadMessage& e) {
+      } catch (const wire::DecodeError& e) {
         log::error("catalog is malformed: {}", e.what());
       }
     });
@@ -282,7 +282,7 @@
   Heartbeat r;
   try {
     r = wire::decode_heartbeat(std::move(body));
-  } catch (const wire::BadMessage& e) {
+  } catch (const wire::DecodeError& e) {
     log::error("malformed report: {}", e.what());
     respond(failure(400, e.what()));
     return;
--- a/src/provisioning/admin_commands.cpp
+++ b/src/provisioning/admin_commands.cpp
@@ -48,7 +48,7 @@
 std::string described(const std::string& key, Describe describe) {
   try {
     return describe();
-  } catch (const wire::BadMessage& e) {
+  } catch (const wire::DecodeError& e) {
     return fmt::format("{} cannot be read: {}", key, e.what());
   }
 }
@@ -134,7 +134,7 @@
     Control control;
     try {
       if (item != nullptr) control = decode_control(*item->value);
-    } catch (const wire::BadMessage& e) {
+    } catch (const wire::DecodeError& e) {
       done(false, {fmt::format("{} cannot be read: {}", kControlKey, e.what())});
       return;
     }
--- a/src/provisioning/provisioning_controller.cpp
+++ b/src/provisioning/provisioning_controller.cpp
@@ -100,7 +100,7 @@
     try {
       control = decode_control(*r.item.value);
       bad_control_told_ = false;
-    } catch (const wire::BadMessage& e) {
+    } catch (const wire::DecodeError& e) {
       // What was asked for cannot be known: nothing is begun until it can be read.
       if (!bad_control_told_) log::error("{} is malformed: {}", kControlKey, e.what());
       bad_control_told_ = true;
--- a/src/provisioning/records.cpp
+++ b/src/provisioning/records.cpp
@@ -8,7 +8,7 @@
 namespace asterstair::provisioning {
 namespace {
 
-using wire::BadMessage;
+using wire::DecodeError;
 using wire::Json;
 
 constexpr std::array<std::pair<OrphanedInstance::State, std::string_view>, 5> kOrphanStates{
@@ -28,7 +28,7 @@
 
 WallTime time_of(const Json& object, const char* key) {
   const auto ms = wire::integer(object, key);
-  if (ms > kLatestMs) throw BadMessage(std::string(key) + " is out of range");
+  if (ms > kLatestMs) throw DecodeError(std::string(key) + " is out of range");
   return WallTime(milliseconds(ms));
 }
 
@@ -36,13 +36,13 @@
 auto known(Parse parse, const Json& object, const char* key) {
   const auto& word = wire::text(object, key);
   const auto value = parse(word);
-  if (!value) throw BadMessage(std::string(key) + " is unknown: " + word);
+  if (!value) throw DecodeError(std::string(key) + " is unknown: " + word);
   return *value;
 }
 
 std::string non_empty(const Json& value) {
   if (!value.is_string() || value.get_ref<const std::string&>().empty()) {
-    throw BadMessage("a machine's name is needed");
+    throw DecodeError("a machine's name is needed");
   }
   return value.get<std::string>();
 }
@@ -53,19 +53,19 @@
   out.zone = wire::text(value, "zone");
   out.spot = wire::flag(value, "spot");
   out.count = wire::integer(value, "count");
-  if (out.count == 0 || out.count > wire::kMostRented) throw BadMessage("count is out of range");
+  if (out.count == 0 || out.count > wire::kMostRented) throw DecodeError("count is out of range");
   return out;
 }
 
 Returns decode_returns(const Json& value) {
   const Json& machines = wire::member(value, "machines");
-  if (!machines.is_object()) throw BadMessage("machines must name the reasons");
+  if (!machines.is_object()) throw DecodeError("machines must name the reasons");
   if (machines.empty() || machines.size() > wire::kMostReturned) {
-    throw BadMessage("machines are none or too many");
+    throw DecodeError("machines are none or too many");
   }
   Returns out;
   for (const auto& [machine, reason] : machines.items()) {
-    if (machine.empty()) throw BadMessage("a machine's name is needed");
+    if (machine.empty()) throw DecodeError("a machine's name is needed");
     out[machine] = known(reason_of, machines, machine.c_str());
   }
   return out;
@@ -93,10 +93,10 @@
 }
 
 Operation decode_operation(const std::string& key, const Json& value) {
-  if (!value.is_object()) throw BadMessage("an object is needed");
+  if (!value.is_object()) throw DecodeError("an object is needed");
   store::require_known_form(value);
   const std::string_view prefix = kOperationPrefix;
-  if (!key.starts_with(prefix) || key.size() == prefix.size()) throw BadMessage("no name");
+  if (!key.starts_with(prefix) || key.size() == prefix.size()) throw DecodeError("no name");
   Operation out;
   out.name = key.substr(prefix.size());
   out.kind = known(kind_of, value, "kind");
@@ -104,7 +104,7 @@
   const bool of_any_kind =
       out.state == OperationState::Pending || out.state == OperationState::Settled;
   if (!of_any_kind && !is_legal(out.kind, OperationState::Pending, out.state)) {
-    throw BadMessage("state is not one of this kind");
+    throw DecodeError("state is not one of this kind");
   }
   out.token = wire::integer(value, "token");
   out.holder = wire::text(value, "holder");
@@ -127,7 +127,7 @@
 }
 
 Control decode_control(const Json& value) {
-  if (!value.is_object()) throw BadMessage("an object is needed");
+  if (!value.is_object()) throw DecodeError("an object is needed");
   store::require_known_form(value);
   Control out;
   out.paused = wire::flag(value, "paused");
@@ -151,7 +151,7 @@
 }
 
 std::vector<OrphanedInstance> decode_orphans(const Json& value) {
-  if (!value.is_object()) throw BadMessage("an object is needed");
+  if (!value.is_object()) throw DecodeError("an object is needed");
   store::require_known_form(value);
   std::vector<OrphanedInstance> out;
   for (const auto& item : wire::list(value, "orphans")) {
--- a/src/provisioning/records.hpp
+++ b/src/provisioning/records.hpp
@@ -6,7 +6,7 @@
 //   that nobody accounts for, for operators control/machines          what an operator has asked
 //   for: pause, handing over
 //
-// A record that cannot be read, or is of a newer form, throws wire::BadMessage.
+// A record that cannot be read, or is of a newer form, throws wire::DecodeError.
 
 #include <string>
 #include <vector>
--- a/src/provisioning/stored_operation_log.cpp
+++ b/src/provisioning/stored_operation_log.cpp
@@ -27,7 +27,7 @@
   for (const auto& item : items) {
     try {
       out.push_back(decode_operation(item.key, *item.value));
-    } catch (const wire::BadMessage& e) {
+    } catch (const wire::DecodeError& e) {
       // Left alone for an operator to look at: nothing is started for its sake.
       if (!quarantined_.insert(item.key).second) continue;
       log::error("ledger record {} is quarantined: {}", item.key, e.what());
--- a/src/store/read_queue.cpp
+++ b/src/store/read_queue.cpp
@@ -42,7 +42,7 @@
 }
 
 void ReadQueue::get(const std::string& key, std::function<void(ReadResult)> done,
-                    Duration patience) {
+                    Duration timeout) {
   // A read not yet sent serves everybody who asks meanwhile.
   const auto shared = by_key_.find(key);
   if (shared != by_key_.end()) {
@@ -53,7 +53,7 @@
     done({});
     return;
   }
-  reads_.push_back({key, link_.now() + patience, 0, {}});
+  reads_.push_back({key, link_.now() + timeout, 0, {}});
   reads_.back().done.push_back(std::move(done));
   by_key_[key] = &reads_.back();
   pump();
--- a/src/store/read_queue.hpp
+++ b/src/store/read_queue.hpp
@@ -21,7 +21,7 @@
       : link_(link), most_waiting_(most_waiting), wake_(link.runtime(), [this] { pump(); }) {}
 
   // Given up, as Unavailable, after `patience`.
-  void get(const std::string& key, std::function<void(ReadResult)> done, Duration patience);
+  void get(const std::string& key, std::function<void(ReadResult)> done, Duration timeout);
 
  private:
   struct Read {
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -47,7 +47,7 @@
 void require_known_form(const Json& value) {
   if (wire::optional_member(value, "form") == nullptr) return;
   const auto form = wire::integer(value, "form");
-  if (form > kRecordForm) throw wire::BadMessage("form " + std::to_string(form) + " is newer");
+  if (form > kRecordForm) throw wire::DecodeError("form " + std::to_string(form) + " is newer");
 }
 
 Json encode_holder(const HolderRecord& r) {
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -21,7 +21,7 @@
 
 // Records of a newer form are not read: what they say may bind in ways that are not known here.
 inline constexpr std::uint64_t kRecordForm = 1;
-void require_known_form(const wire::Json& value);  // throws wire::BadMessage
+void require_known_form(const wire::Json& value);  // throws wire::DecodeError
 
 inline constexpr const char* kLeaderKey = "leader";
 // {"token": T}: all leaders before the term T have lost their lease validity. Written by the leader
@@ -42,7 +42,7 @@
   WallTime accepted{};
 };
 wire::Json encode_live(const JobSpec& job, WallTime accepted);
-LiveRecord decode_live(const wire::Json& value);  // throws wire::BadMessage
+LiveRecord decode_live(const wire::Json& value);  // throws wire::DecodeError
 
 struct FinalRecord {
   bool cancelled = false;
@@ -59,10 +59,10 @@
   bool forced = false;
 };
 wire::Json encode_holder(const HolderRecord& record);
-HolderRecord decode_holder(const wire::Json& value);  // throws BadMessage, of newer forms too
+HolderRecord decode_holder(const wire::Json& value);  // throws DecodeError, of newer forms too
 wire::Json encode_previous_holders_expired(std::uint64_t token);
 std::uint64_t decode_previous_holders_expired(
-    const wire::Json& value);  // the token; throws BadMessage
+    const wire::Json& value);  // the token; throws DecodeError
 
 // Progress: one bit a task, in hexadecimal, in chunks that fit a value.
 std::size_t tasks_per_chunk(std::size_t value_bytes);
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -15,15 +15,15 @@
 namespace asterstair::store {
 
 // Users wait 2 s for an answer to a poll: reads are given up before that.
-inline constexpr Duration kReadPatience = 1500ms;
+inline constexpr Duration kReadTimeout = 1500ms;
 
 class Store {
  public:
   Store(Runtime& runtime, const Settings& settings);
 
   void get(const std::string& key, std::function<void(ReadResult)> done,
-           Duration patience = kReadPatience) {
-    reads_.get(key, std::move(done), patience);
+           Duration timeout = kReadTimeout) {
+    reads_.get(key, std::move(done), timeout);
   }
   // The same at once, past the queue and the rate limit: for what leadership depends on.
   void get_now(const std::string& key, std::function<void(ReadResult)> done);
--- a/src/wire/heartbeat_decoder.cpp
+++ b/src/wire/heartbeat_decoder.cpp
@@ -16,12 +16,12 @@
 
 TaskId decode_task(std::string_view text) {
   const auto slash = text.rfind('/');
-  if (slash == std::string_view::npos) throw BadMessage("a task's name has no number");
+  if (slash == std::string_view::npos) throw DecodeError("a task's name has no number");
   TaskId out;
   const char* first = text.data() + slash + 1;
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(first, last, out.index);
-  if (error != std::errc() || end != last) throw BadMessage("a task's name has no number");
+  if (error != std::errc() || end != last) throw DecodeError("a task's name has no number");
   out.job = text.substr(0, slash);
   return out;
 }
@@ -32,7 +32,7 @@
   if (word == "running") return TaskState::Running;
   if (word == "saving") return TaskState::Saving;
   if (word == "exited") return TaskState::Exited;
-  throw BadMessage("unknown task state " + std::string(word));
+  throw DecodeError("unknown task state " + std::string(word));
 }
 
 ExitCause decode_cause(std::string_view word) {
@@ -251,7 +251,7 @@
 
 Heartbeat decode_heartbeat(std::string body) {
   // The parser takes a zero byte for the end.
-  if (body.find('\0') != std::string::npos) throw BadMessage("not JSON");
+  if (body.find('\0') != std::string::npos) throw DecodeError("not JSON");
   // Iterative: nesting takes memory in proportion to the body, which is bounded, and no stack.
   constexpr unsigned kFlags = rapidjson::kParseInsituFlag | rapidjson::kParseIterativeFlag |
                               rapidjson::kParseValidateEncodingFlag;
@@ -260,11 +260,11 @@
   rapidjson::Reader parser;
   const auto result = parser.Parse<kFlags>(stream, reader);
   if (result.IsError()) {
-    throw BadMessage(!reader.trouble().empty()
-                         ? reader.trouble()
-                         : std::string("not JSON: ") + rapidjson::GetParseError_En(result.Code()));
+    throw DecodeError(!reader.trouble().empty()
+                          ? reader.trouble()
+                          : std::string("not JSON: ") + rapidjson::GetParseError_En(result.Code()));
   }
-  if (!reader.complete()) throw BadMessage("a field is missing");
+  if (!reader.complete()) throw DecodeError("a field is missing");
   return reader.take();
 }
 
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -6,8 +6,8 @@
 
 Json parse(const std::string& body) {
   Json out = Json::parse(body, nullptr, false);
-  if (out.is_discarded()) throw BadMessage("the body is not JSON");
-  if (!out.is_object()) throw BadMessage("the body is not a JSON object");
+  if (out.is_discarded()) throw DecodeError("the body is not JSON");
+  if (!out.is_object()) throw DecodeError("the body is not a JSON object");
   return out;
 }
 
@@ -22,21 +22,21 @@
 
 const Json& member(const Json& object, const char* key) {
   const Json* v = optional_member(object, key);
-  if (v == nullptr) throw BadMessage(std::string(key) + " is missing");
+  if (v == nullptr) throw DecodeError(std::string(key) + " is missing");
   return *v;
 }
 
 const std::string& text(const Json& object, const char* key) {
   const Json& v = member(object, key);
-  if (!v.is_string()) throw BadMessage(std::string(key) + " must be a string");
+  if (!v.is_string()) throw DecodeError(std::string(key) + " must be a string");
   return v.get_ref<const std::string&>();
 }
 
 double number(const Json& object, const char* key) {
   const Json& v = member(object, key);
-  if (!v.is_number()) throw BadMessage(std::string(key) + " must be a number");
+  if (!v.is_number()) throw DecodeError(std::string(key) + " must be a number");
   const double d = v.get<double>();
-  if (!std::isfinite(d) || d < 0) throw BadMessage(std::string(key) + " must not be negative");
+  if (!std::isfinite(d) || d < 0) throw DecodeError(std::string(key) + " must not be negative");
   return d;
 }
 
@@ -47,12 +47,12 @@
 std::uint64_t integer(const Json& object, const char* key) {
   const Json& v = member(object, key);
   if (v.is_number_unsigned()) return v.get<std::uint64_t>();
-  throw BadMessage(std::string(key) + " must be a whole number");
+  throw DecodeError(std::string(key) + " must be a whole number");
 }
 
 bool flag(const Json& object, const char* key) {
   const Json& v = member(object, key);
-  if (!v.is_boolean()) throw BadMessage(std::string(key) + " must be true or false");
+  if (!v.is_boolean()) throw DecodeError(std::string(key) + " must be true or false");
   return v.get<bool>();
 }
 
@@ -62,7 +62,7 @@
 
 const Json& list(const Json& object, const char* key) {
   const Json& v = member(object, key);
-  if (!v.is_array()) throw BadMessage(std::string(key) + " must be a list");
+  if (!v.is_array()) throw DecodeError(std::string(key) + " must be a list");
   return v;
 }
 
--- a/src/wire/json.hpp
+++ b/src/wire/json.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Reading JSON from outside: everything absent, null or of the wrong type is a BadMessage,
+// Reading JSON from outside: everything absent, null or of the wrong type is a DecodeError,
 // never a crash.
 
 #include <nlohmann/json.hpp>
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-struct BadMessage : std::runtime_error {
+struct DecodeError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
--- a/src/wire/user.cpp
+++ b/src/wire/user.cpp
@@ -23,7 +23,7 @@
   for (const auto& [word, meaning] : options) {
     if (value == word) return meaning;
   }
-  throw BadMessage(std::string(key) + " is none of the known values");
+  throw DecodeError(std::string(key) + " is none of the known values");
 }
 
 template <typename T, std::size_t N>
@@ -37,7 +37,7 @@
 std::string short_name(const Json& body, const char* key) {
   const auto& value = text(body, key);
   if (value.empty() || value.size() > kLongestName) {
-    throw BadMessage(std::string(key) + " must have 1 to 100 characters");
+    throw DecodeError(std::string(key) + " must have 1 to 100 characters");
   }
   return value;
 }
@@ -76,14 +76,14 @@
   JobSpec job;
   job.id = text(body, name::kId);
   if (!valid_job_id(job.id))
-    throw BadMessage(std::string(name::kId) + " must look like req-000412");
+    throw DecodeError(std::string(name::kId) + " must look like req-000412");
   job.job_class = short_name(body, name::kClass);
   job.team = short_name(body, name::kTeam);
   job.kind = choice(body, name::kKind, kKinds);
   job.priority = choice(body, name::kPriority, kPriorities);
   const auto tasks = integer(body, name::kTasks);
   if (tasks < 1 || tasks > kMostTasks)
-    throw BadMessage(std::string(name::kTasks) + " must be 1 to 100000");
+    throw DecodeError(std::string(name::kTasks) + " must be 1 to 100000");
   job.tasks = static_cast<std::uint32_t>(tasks);
   job.cpus = number(body, name::kCpus);
   job.gpus = number(body, name::kGpus);
@@ -91,10 +91,10 @@
   job.image = short_name(body, name::kImage);
   job.image_gb = number(body, name::kImageGb);
   if (const Json* types = optional_member(body, name::kTypes)) {
-    if (!types->is_array()) throw BadMessage(std::string(name::kTypes) + " must be a list");
+    if (!types->is_array()) throw DecodeError(std::string(name::kTypes) + " must be a list");
     job.types.emplace();
     for (const auto& t : *types) {
-      if (!t.is_string()) throw BadMessage(std::string(name::kTypes) + " must hold names");
+      if (!t.is_string()) throw DecodeError(std::string(name::kTypes) + " must hold names");
       job.types->push_back(t.get<std::string>());
     }
   }
--- a/src/wire/user.hpp
+++ b/src/wire/user.hpp
@@ -17,7 +17,7 @@
 inline constexpr std::string_view kHeartbeatPath = "/v1/report";
 
 bool valid_job_id(std::string_view id);
-JobSpec decode_job(const Json& body);     // throws BadMessage naming the field
+JobSpec decode_job(const Json& body);     // throws DecodeError naming the field
 Json encode_job(const JobSpec& job);      // the form a description is stored in
 std::string job_id_of(const Json& body);  // empty if there is no valid one
 
--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -131,7 +131,7 @@
     j[key] = value;
     try {
       wire::decode_job(j);
-    } catch (const wire::BadMessage& e) {
+    } catch (const wire::DecodeError& e) {
       return std::string(e.what()).find(key) != std::string::npos;
     }
     return false;
@@ -153,7 +153,7 @@
         "bundle", "imageGb", "together", "scatter", "loaner", "expectS", "bookmarkS", "stashS"}) {
     auto j = good;
     j.erase(key);
-    EXPECT_THROW(wire::decode_job(j), wire::BadMessage) << key;
+    EXPECT_THROW(wire::decode_job(j), wire::DecodeError) << key;
   }
   for (const char* key : {"flavors", "yard", "dueS"}) {
     auto j = good;
@@ -161,8 +161,8 @@
     EXPECT_NO_THROW(wire::decode_job(j)) << key;
   }
   EXPECT_FALSE(bad("dueS", nullptr));
-  EXPECT_THROW(wire::parse("[1]"), wire::BadMessage);
-  EXPECT_THROW(wire::parse("{\"a\":"), wire::BadMessage);
+  EXPECT_THROW(wire::parse("[1]"), wire::DecodeError);
+  EXPECT_THROW(wire::parse("{\"a\":"), wire::DecodeError);
 }
 
 // A gang that must be spread over zones and may be in one only can never run.
@@ -200,7 +200,7 @@
   EXPECT_EQ(r.tasks[1].cause, ExitCause::Stopped);
   EXPECT_TRUE(r.tasks[1].saved);
   EXPECT_EQ(r.preemption_notice, Seconds(7.5));
-  EXPECT_THROW(wire::decode_heartbeat("{}"), wire::BadMessage);
+  EXPECT_THROW(wire::decode_heartbeat("{}"), wire::DecodeError);
   const auto out =
       wire::parse(wire::encode_commands(41, {{Command::Op::Stop, {"req-1", 2}, 7, Seconds(10)},
                                              {Command::Op::Acknowledge, {"req-1", 3}, 8}}));
--- a/tests/heartbeat_decoder_test.cpp
+++ b/tests/heartbeat_decoder_test.cpp
@@ -73,7 +73,7 @@
 std::optional<Heartbeat> read(const std::string& text) {
   try {
     return wire::decode_heartbeat(text);
-  } catch (const wire::BadMessage&) {
+  } catch (const wire::DecodeError&) {
     return std::nullopt;
   }
 }
--- a/tests/provisioning_records_test.cpp
+++ b/tests/provisioning_records_test.cpp
@@ -50,19 +50,19 @@
       if (field == "form") continue;  // of the first form when absent
       Json without = whole;
       without.erase(field);
-      EXPECT_THROW(decode_operation(operation_key(o.name), without), wire::BadMessage) << field;
+      EXPECT_THROW(decode_operation(operation_key(o.name), without), wire::DecodeError) << field;
       Json other = whole;
       other[field] = Json::array({1});
-      EXPECT_THROW(decode_operation(operation_key(o.name), other), wire::BadMessage) << field;
+      EXPECT_THROW(decode_operation(operation_key(o.name), other), wire::DecodeError) << field;
     }
     Json newer = whole;
     newer["form"] = 2;
-    EXPECT_THROW(decode_operation(operation_key(o.name), newer), wire::BadMessage);
-    EXPECT_THROW(decode_operation("ledger/machines/", whole), wire::BadMessage);
+    EXPECT_THROW(decode_operation(operation_key(o.name), newer), wire::DecodeError);
+    EXPECT_THROW(decode_operation("ledger/machines/", whole), wire::DecodeError);
   }
   Json wrong_kind = encode_operation(give_back());
   wrong_kind["state"] = "granted";
-  EXPECT_THROW(decode_operation("ledger/machines/x", wrong_kind), wire::BadMessage);
+  EXPECT_THROW(decode_operation("ledger/machines/x", wrong_kind), wire::DecodeError);
 }
 
 // Seeded changes of valid records: each is read or refused, and what is read is valid.
@@ -82,7 +82,7 @@
       const auto o = decode_operation("ledger/machines/r-41-1", value);
       EXPECT_EQ(decode_operation(operation_key(o.name), encode_operation(o)), o) << text;
       ++read;
-    } catch (const wire::BadMessage&) {
+    } catch (const wire::DecodeError&) {
       ++refused;
     }
   }
--- a/tests/sim/fleet.hpp
+++ b/tests/sim/fleet.hpp
@@ -186,13 +186,13 @@
     last_sent_ = world_.t();
     const auto sent = world_.now();
     const auto epoch = epoch_;
-    world_.http(id, nodes_[node_], {"POST", "/v1/report", body().dump()}, kPatience,
+    world_.http(id, nodes_[node_], {"POST", "/v1/report", body().dump()}, kTimeout,
                 [w = weak_from_this(), sent, epoch](const HttpResponse& r) {
                   const auto s = w.lock();
                   if (!s || s->ended) return;
                   s->when_awake([sent, epoch, r](Worker& self) {
                     self.in_flight_ = false;
-                    const bool late = self.world_.now() - sent > kPatience;
+                    const bool late = self.world_.now() - sent > kTimeout;
                     self.answered(late ? HttpResponse{} : r, sent, epoch);
                   });
                 });
@@ -469,7 +469,7 @@
   std::uint32_t epoch_ = 1;
   std::uint64_t seq_ = 0, token_ = 0;
   TimePoint began_{}, renewed_{};
-  static constexpr auto kPatience = 4s;  // with an answer
+  static constexpr auto kTimeout = 4s;  // with an answer
   double goes_at_ = 0, last_sent_ = -1, hung_until_ = 0;
   std::vector<std::function<void(Worker&)>> asleep_;
   bool in_flight_ = false, urgent_ = false;
