--- a/src/autoscale/autoscale.cpp
+++ b/src/autoscale/autoscale.cpp
@@ -20,18 +20,18 @@
 
 Autoscaler::Autoscaler(Runtime& runtime, cloud::Cloud& cloud,
                        provisioning::ProvisioningController& provisioning, const Settings& settings,
-                       const cloud::Catalog& catalog, std::shared_ptr<fleet::Fleet> fleet)
+                       const cloud::Catalog& catalog, std::shared_ptr<leader::Term> term)
     : runtime_(runtime),
       cloud_(cloud),
       provisioning_(provisioning),
       catalog_(catalog),
-      fleet_(std::move(fleet)),
+      term_(std::move(term)),
       operations_(provisioning.begin_term()),
       inventory_(settings),
-      return_policy_(settings, catalog, *fleet_, inventory_) {}
+      return_policy_(settings, catalog, *term_, inventory_) {}
 
 void Autoscaler::start() {
-  operations_->start(operation_events(), [fleet = fleet_] { fleet->open_returns_known(); });
+  operations_->start(operation_events(), [term = term_] { term->open_returns_known(); });
   tick();
 }
 
@@ -43,7 +43,7 @@
     };
   };
   return {tell([](Autoscaler& a, const provisioning::Operation& o) {
-            for (const auto& [machine, reason] : o.returns) a.fleet_->begin_return(machine);
+            for (const auto& [machine, reason] : o.returns) a.term_->begin_return(machine);
           }),
           tell([](Autoscaler& a, const provisioning::Operation& o) { a.granted(o); }),
           tell([](Autoscaler& a, const provisioning::Operation& o) { a.refused(o); }),
@@ -55,7 +55,7 @@
   runtime_.after(kTick, [self = weak_from_this()] {
     if (const auto a = self.lock()) a->tick();
   });
-  if (!provisioning_.lease_valid() || !fleet_->recovered() || !catalog_.known()) return;
+  if (!provisioning_.lease_valid() || !term_->recovered() || !catalog_.known()) return;
   list_machines();
   settle_machines();
   return_policy_.update(runtime_.now());
@@ -63,12 +63,12 @@
   consolidate();
   publish_orphans();
   // What an earlier leader rented shows in the list first.
-  if (first_list_ != TimePoint{} && fleet_->reconciled()) rent();
+  if (first_list_ != TimePoint{} && term_->reconciled()) rent();
 }
 
 void Autoscaler::list_machines() {
   const auto now = runtime_.now();
-  const Duration every = fleet_->reconciled() ? Duration(kListEvery) : Duration(kListUnsettled);
+  const Duration every = term_->reconciled() ? Duration(kListEvery) : Duration(kListUnsettled);
   if (listing_ || now - last_list_ < every || !cloud_.may_call()) return;
   listing_ = true;
   last_list_ = now;
@@ -98,7 +98,7 @@
 
 void Autoscaler::listed(const std::vector<ListedMachine>& machines) {
   const auto now = runtime_.now();
-  inventory_.listed(machines, fleet_->machines(), now);
+  inventory_.listed(machines, term_->machines(), now);
   return_policy_.listed(machines, first_list_, now);
   for (const auto& machine : inventory_.take_vanished()) operations_->settle(machine);
 }
@@ -106,10 +106,10 @@
 // Machines that the operation log names are settled once they are on the machine registry: a later
 // leader then knows of them from there.
 void Autoscaler::settle_machines() {
-  inventory_.update(fleet_->machines(), runtime_.now());
+  inventory_.update(term_->machines(), runtime_.now());
   std::vector<std::string> settled;
   for (const auto& [machine, operation] : operations_->unsettled()) {
-    const auto* m = fleet_->machines().find(machine);
+    const auto* m = term_->machines().find(machine);
     const bool pending = m == nullptr && inventory_.pending().count(machine) != 0;
     const bool joining = m != nullptr && !m->registered;
     if (!pending && !joining) settled.push_back(machine);
@@ -132,9 +132,9 @@
   const auto now = runtime_.now();
   if (now - last_consolidation_ < kConsolidateEvery) return;
   last_consolidation_ = now;
-  fleet_->consolidate([this, now](const fleet::Machine& m) {
-    const auto& arrivals = fleet_->arrivals();
-    return std::none_of(arrivals.begin(), arrivals.end(), [&](const fleet::Arrival& a) {
+  term_->consolidate([this, now](const cluster::Machine& m) {
+    const auto& arrivals = term_->arrivals();
+    return std::none_of(arrivals.begin(), arrivals.end(), [&](const leader::Arrival& a) {
       return a.job->allows_type(m.type) && now - a.at < kLull;
     });
   });
@@ -161,9 +161,9 @@
 Market Autoscaler::market() const {
   const auto now = runtime_.now();
   return {catalog_, [this](const Pool& p) { return refused_lately(p); },
-          [this, now, sizes = fleet_->group_sizes()](const Pool& p) {
+          [this, now, sizes = term_->group_sizes()](const Pool& p) {
             const auto n = sizes.find({p.zone, p.spot});
-            return fleet_->losses().rate({p.zone, p.spot}, n == sizes.end() ? 1 : n->second, now);
+            return term_->losses().rate({p.zone, p.spot}, n == sizes.end() ? 1 : n->second, now);
           },
           backlog()};
 }
@@ -171,7 +171,7 @@
 Autoscaler::CountByZone Autoscaler::machines_by_zone(
     const std::string& type, const std::map<std::string, PendingMachine>& pending) const {
   CountByZone out;
-  for (const auto& [id, m] : fleet_->machines().all()) {
+  for (const auto& [id, m] : term_->machines().all()) {
     if (m.type == type && m.reconciled && !m.lease_expired) ++out[m.zone];
   }
   for (const auto& [id, p] : pending) {
@@ -203,14 +203,14 @@
 // A fleet is rented from empty in a few rounds: as many requests at once as the cloud takes.
 void Autoscaler::rent() {
   if (!operations_->may_begin()) return;
-  inventory_.update(fleet_->machines(), runtime_.now());
+  inventory_.update(term_->machines(), runtime_.now());
   const auto pending = pending_and_requested();
   std::set<Pool> under_way;
   for (const auto& [name, o] : operations_->open()) {
     if (o.kind == provisioning::OperationKind::Rent) under_way.insert(pool_of(o.rental));
   }
   std::map<std::string, CountByZone> by_type;
-  for (const auto& desired : desired_machines(fleet_->demand(), pending, market())) {
+  for (const auto& desired : desired_machines(term_->demand(), pending, market())) {
     const auto [counts, added] = by_type.try_emplace(desired.type);
     if (added) counts->second = machines_by_zone(desired.type, pending);
     for (std::size_t left = desired.count; left > 0;) {
@@ -262,19 +262,19 @@
     inventory_.returned(machine, now);
     return_policy_.returned(machine);
     operations_->settle(machine);
-    fleet_->machine_gone(machine);
+    term_->machine_gone(machine);
   }
 }
 
 // How long the arrays that need no accelerator will queue, as things are.
 Seconds Autoscaler::backlog() const {
   double work = 0, cpus = 0;
-  for (const auto& d : fleet_->demand()) {
+  for (const auto& d : term_->demand()) {
     if (d.job->gpus <= 0 && !d.job->gang()) {
       work += d.tasks * d.job->cpus * d.remaining.count();
     }
   }
-  for (const auto& [id, m] : fleet_->machines().all()) {
+  for (const auto& [id, m] : term_->machines().all()) {
     const auto* type = catalog_.find(m.type);
     if (type != nullptr && m.reconciled && !m.lease_expired) cpus += type->cpus;
   }
@@ -282,12 +282,12 @@
 }
 
 // One return is under way at a time. From here on no leader gives the machines work: none of this
-// term, see Fleet::begin_return, and none later, since the operation log tells of them.
+// term, see Term::begin_return, and none later, since the operation log tells of them.
 void Autoscaler::send_returns() {
   if (operations_->returning() || !operations_->may_begin() || !cloud_.may_call()) return;
   const auto returns = return_policy_.due(wire::kMostReturned);
   if (returns.empty()) return;
-  for (const auto& [machine, reason] : returns) fleet_->begin_return(machine);
+  for (const auto& [machine, reason] : returns) term_->begin_return(machine);
   operations_->give_back(returns);
 }
 
--- a/src/autoscale/autoscale.hpp
+++ b/src/autoscale/autoscale.hpp
@@ -14,7 +14,7 @@
 #include "base/settings.hpp"
 #include "cloud/catalog.hpp"
 #include "cloud/cloud.hpp"
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 #include "provisioning/provisioning_controller.hpp"
 
 namespace asterstair::autoscale {
@@ -24,7 +24,7 @@
   // Begins a term of the duties, and tells the fleet of returns that earlier leaders began.
   Autoscaler(Runtime& runtime, cloud::Cloud& cloud,
              provisioning::ProvisioningController& provisioning, const Settings& settings,
-             const cloud::Catalog& catalog, std::shared_ptr<fleet::Fleet> fleet);
+             const cloud::Catalog& catalog, std::shared_ptr<leader::Term> term);
   void start();
   void stop() { stopped_ = true; }
 
@@ -59,7 +59,7 @@
   cloud::Cloud& cloud_;
   provisioning::ProvisioningController& provisioning_;
   const cloud::Catalog& catalog_;
-  std::shared_ptr<fleet::Fleet> fleet_;
+  std::shared_ptr<leader::Term> term_;
   std::shared_ptr<provisioning::OperationRunner> operations_;
   Inventory inventory_;
   ReturnPolicy return_policy_;
--- a/src/autoscale/desired_machines.cpp
+++ b/src/autoscale/desired_machines.cpp
@@ -53,7 +53,7 @@
     }
   }
 
-  void add(const fleet::Demand& demand) {
+  void add(const leader::Demand& demand) {
     const JobSpec& job = *demand.job;
     std::uint32_t left = demand.tasks;
     for (auto& m : machines_) {
@@ -81,7 +81,7 @@
 
   // All the type's room counts: other tasks will share the machine. Work that is lost is bought
   // again.
-  static double price_of_place(const fleet::Demand& demand, const MachineType& type, bool spot,
+  static double price_of_place(const leader::Demand& demand, const MachineType& type, bool spot,
                                double loss_rate) {
     constexpr double kAtLeast = 1e-9;
     const JobSpec& job = *demand.job;
@@ -101,7 +101,7 @@
   }
 
   // What is to start at once takes what is up first, then what costs least.
-  static bool better(const fleet::Demand& demand, const Offer& offer, const Offer& best) {
+  static bool better(const leader::Demand& demand, const Offer& offer, const Offer& best) {
     const bool needless_accelerators =
         demand.job->gpus <= 0 && best.type->gpus <= 0 && offer.type->gpus > 0;
     if (needless_accelerators) return false;
@@ -111,7 +111,7 @@
     return offer.price < best.price;
   }
 
-  std::optional<Offer> best_offer(const fleet::Demand& demand) const {
+  std::optional<Offer> best_offer(const leader::Demand& demand) const {
     std::optional<Offer> best;
     for (const auto& [name, type] : market_.catalog.types()) {
       if (!worth_considering(*demand.job, type)) continue;
@@ -126,7 +126,7 @@
     return best;
   }
 
-  void rent(const fleet::Demand& demand, const Offer& offer, std::uint32_t tasks) {
+  void rent(const leader::Demand& demand, const Offer& offer, std::uint32_t tasks) {
     const JobSpec& job = *demand.job;
     const MachineType& type = *offer.type;
     const std::string zone = job.zone.value_or(type.zones.front());
@@ -162,7 +162,7 @@
 
 }  // namespace
 
-std::vector<DesiredMachines> desired_machines(const std::vector<fleet::Demand>& demand,
+std::vector<DesiredMachines> desired_machines(const std::vector<leader::Demand>& demand,
                                               const std::map<std::string, PendingMachine>& pending,
                                               const Market& market) {
   Search search(pending, market);
--- a/src/autoscale/desired_machines.hpp
+++ b/src/autoscale/desired_machines.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "cloud/catalog.hpp"
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 
 namespace asterstair::autoscale {
 
@@ -42,7 +42,7 @@
   Seconds backlog{0};
 };
 
-std::vector<DesiredMachines> desired_machines(const std::vector<fleet::Demand>& demand,
+std::vector<DesiredMachines> desired_machines(const std::vector<leader::Demand>& demand,
                                               const std::map<std::string, PendingMachine>& pending,
                                               const Market& market);
 
--- a/src/autoscale/inventory.cpp
+++ b/src/autoscale/inventory.cpp
@@ -40,13 +40,13 @@
   log::info("machine {}, which nobody accounted for: {}", machine, provisioning::word(state));
 }
 
-void Inventory::listed(const std::vector<ListedMachine>& machines, const fleet::Machines& fleet,
-                       TimePoint now) {
+void Inventory::listed(const std::vector<ListedMachine>& machines,
+                       const cluster::MachineTable& term, TimePoint now) {
   last_list_.clear();
   for (const auto& m : machines) {
     last_list_.insert(m.id);
     if (is_returned(m.id) || m.state == ListedMachine::State::Failed) continue;
-    if (fleet.find(m.id) != nullptr || pending_.count(m.id) != 0) continue;
+    if (term.find(m.id) != nullptr || pending_.count(m.id) != 0) continue;
     // Rented by a request thought lost, or under a operation log that is not there: used like any
     // other, and returned if it does not come up.
     add_orphan(m.id, now);
@@ -55,7 +55,7 @@
   // Taken back or given up while it was coming.
   const Duration timeout = settings_.list_lag * kListLags + kListExtra;
   for (auto it = pending_.begin(); it != pending_.end();) {
-    const bool there = listed_last(it->first) || fleet.find(it->first) != nullptr;
+    const bool there = listed_last(it->first) || term.find(it->first) != nullptr;
     if (there || now - it->second.first_seen <= timeout) {
       ++it;
       continue;
@@ -73,9 +73,9 @@
   });
 }
 
-void Inventory::update(const fleet::Machines& fleet, TimePoint now) {
+void Inventory::update(const cluster::MachineTable& term, TimePoint now) {
   for (auto it = pending_.begin(); it != pending_.end();) {
-    if (fleet.find(it->first) == nullptr) {
+    if (term.find(it->first) == nullptr) {
       ++it;
       continue;
     }
--- a/src/autoscale/inventory.hpp
+++ b/src/autoscale/inventory.hpp
@@ -10,7 +10,7 @@
 
 #include "autoscale/desired_machines.hpp"
 #include "base/settings.hpp"
-#include "fleet/machines.hpp"
+#include "cluster/machine_table.hpp"
 #include "provisioning/records.hpp"
 
 namespace asterstair::autoscale {
@@ -22,10 +22,10 @@
   void rented(const std::string& machine, const Pool& pool, TimePoint since, TimePoint now);
   void returned(const std::string& machine, TimePoint now);
   // Takes over a whole list.
-  void listed(const std::vector<ListedMachine>& machines, const fleet::Machines& fleet,
+  void listed(const std::vector<ListedMachine>& machines, const cluster::MachineTable& term,
               TimePoint now);
   // Machines that have been heard of are not pending any more.
-  void update(const fleet::Machines& fleet, TimePoint now);
+  void update(const cluster::MachineTable& term, TimePoint now);
 
   const std::map<std::string, PendingMachine>& pending() const { return pending_; }
   // Returned: lists may show them a while longer.
--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -29,8 +29,8 @@
   }
   // A take-over waits for every machine that may hold tasks. Of those that neither report nor are
   // listed, a return tells at once that they are gone, instead of their leases running out.
-  if (fleet_.reconciled() || now - first_list <= kFailoverTimeout) return;
-  for (const auto& [id, m] : fleet_.machines().all()) {
+  if (term_.reconciled() || now - first_list <= kFailoverTimeout) return;
+  for (const auto& [id, m] : term_.machines().all()) {
     if (!m.reconciled && !m.lease_expired && !inventory_.listed_last(id)) {
       due_.emplace(id, provisioning::ReturnReason::Unlisted);
     }
@@ -41,7 +41,7 @@
   find_failed_boots(now);
   std::map<std::string, TimePoint> idle;
   auto room = free_room();
-  for (const auto& [id, m] : fleet_.machines().all()) {
+  for (const auto& [id, m] : term_.machines().all()) {
     if (const auto reason = unusable(m, now)) {
       due_.emplace(id, *reason);
       continue;
@@ -69,14 +69,14 @@
 bool ReturnPolicy::still_due(const std::string& machine, provisioning::ReturnReason reason) const {
   if (provisioning::gives_up_work(reason)) return true;
   if (reason == provisioning::ReturnReason::FailedBoot) {
-    return fleet_.machines().find(machine) == nullptr;
+    return term_.machines().find(machine) == nullptr;
   }
-  return fleet_.known_empty(machine);
+  return term_.known_empty(machine);
 }
 
 void ReturnPolicy::find_failed_boots(TimePoint now) {
   for (const auto& [id, p] : inventory_.pending()) {
-    if (fleet_.machines().find(id) != nullptr) continue;
+    if (term_.machines().find(id) != nullptr) continue;
     const auto boot = to_duration(boot_time(p.pool.type) * kBootTimeout) + kBootExtra;
     // A new leader first hears from the machines that are up.
     const bool failed = now - p.since > boot && now - p.first_seen > settings_.lease + kBootExtra;
@@ -91,7 +91,7 @@
   return t != nullptr ? t->boot : kUnknownBoot;
 }
 
-std::optional<provisioning::ReturnReason> ReturnPolicy::unusable(const fleet::Machine& m,
+std::optional<provisioning::ReturnReason> ReturnPolicy::unusable(const cluster::Machine& m,
                                                                  TimePoint now) const {
   if (m.unresponsive_since && now - *m.unresponsive_since > settings_.lease * kUnresponsiveLeases) {
     return provisioning::ReturnReason::Unreachable;
@@ -102,28 +102,28 @@
   return std::nullopt;
 }
 
-bool ReturnPolicy::idle_for_long(const fleet::Machine& m, TimePoint idle_since,
+bool ReturnPolicy::idle_for_long(const cluster::Machine& m, TimePoint idle_since,
                                  const FreeRoom& room, TimePoint now) const {
   const Duration idle = now - idle_since;
   const Duration keep = to_duration(boot_time(m.type) * kIdleBoots);
-  if (!fleet_.reconciled() || idle <= keep) return false;
+  if (!term_.reconciled() || idle <= keep) return false;
   if (idle <= keep * kAwaitedBoots && gang_waits_for(m)) return false;
   return may_spare(m, room);
 }
 
 // An idle machine is drained first, and returned once a later turn still finds it without tasks:
 // exited tasks wait for their results to be durable.
-void ReturnPolicy::release(const fleet::Machine& m, TimePoint idle_since, FreeRoom& room,
+void ReturnPolicy::release(const cluster::Machine& m, TimePoint idle_since, FreeRoom& room,
                            TimePoint now) {
   using provisioning::ReturnReason;
-  if (m.service != fleet::Machine::Service::InUse) {
+  if (m.service != cluster::Machine::Service::InUse) {
     if (m.attempts.empty()) {
       due_.emplace(m.id, m.faulty ? ReturnReason::Faulty : ReturnReason::Idle);
     }
     return;
   }
   if (!m.faulty && !idle_for_long(m, idle_since, room, now)) return;
-  fleet_.drain(m.id);
+  term_.drain(m.id);
   // No longer there for what may come.
   const auto* type = catalog_.find(m.type);
   if (type == nullptr) return;
@@ -136,41 +136,41 @@
 
 // Whether enough room stays free without the machine for what may arrive before another could be
 // up: work that cannot wait for a boot.
-bool ReturnPolicy::may_spare(const fleet::Machine& machine, const FreeRoom& room) const {
+bool ReturnPolicy::may_spare(const cluster::Machine& machine, const FreeRoom& room) const {
   const auto* type = catalog_.find(machine.type);
   if (type == nullptr) return true;
   const bool gpu = type->gpus > 0;
   double expected = 0;
-  for (const auto& a : fleet_.arrivals()) {
+  for (const auto& a : term_.arrivals()) {
     if ((a.job->gpus > 0) != gpu || !a.job->allows_type(machine.type)) continue;
     if (a.slack >= kTightBoots * type->boot.count()) continue;
     expected += a.job->tasks * (gpu ? a.job->gpus : a.job->cpus);
   }
-  expected *= type->boot.count() / seconds(fleet::kArrivalWindow);
+  expected *= type->boot.count() / seconds(leader::kArrivalWindow);
   // The machine itself is idle: its room is all free.
   return gpu ? room.gpus - type->gpus >= expected : room.cpus - type->cpus >= expected;
 }
 
 // Whether a gang waits that this machine could serve once others have come: returned one by one as
 // they idle, the machines of a gang would never be there together.
-bool ReturnPolicy::gang_waits_for(const fleet::Machine& machine) const {
+bool ReturnPolicy::gang_waits_for(const cluster::Machine& machine) const {
   const auto* type = catalog_.find(machine.type);
   if (type == nullptr) return false;
   sched::PlanMachine m;
   m.type = type;
   m.zone = machine.zone;
   m.spot = machine.spot;
-  const auto& demand = fleet_.demand();
-  return std::any_of(demand.begin(), demand.end(), [&](const fleet::Demand& d) {
+  const auto& demand = term_.demand();
+  return std::any_of(demand.begin(), demand.end(), [&](const leader::Demand& d) {
     return d.job->gang() && sched::allowed_on(*d.job, m) && type->fits(*d.job) > 0;
   });
 }
 
 ReturnPolicy::FreeRoom ReturnPolicy::free_room() const {
   FreeRoom out;
-  for (const auto& [id, m] : fleet_.machines().all()) {
+  for (const auto& [id, m] : term_.machines().all()) {
     const auto* t = catalog_.find(m.type);
-    if (t == nullptr || !fleet_.usable(m)) continue;
+    if (t == nullptr || !term_.usable(m)) continue;
     if (t->gpus > 0) {
       out.gpus += t->gpus - m.usage.used.gpus;
     } else {
--- a/src/autoscale/return_policy.hpp
+++ b/src/autoscale/return_policy.hpp
@@ -8,16 +8,16 @@
 #include "autoscale/inventory.hpp"
 #include "base/settings.hpp"
 #include "cloud/catalog.hpp"
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 #include "provisioning/operation.hpp"
 
 namespace asterstair::autoscale {
 
 class ReturnPolicy {
  public:
-  ReturnPolicy(const Settings& settings, const cloud::Catalog& catalog, fleet::Fleet& fleet,
+  ReturnPolicy(const Settings& settings, const cloud::Catalog& catalog, leader::Term& term,
                const Inventory& inventory)
-      : settings_(settings), catalog_(catalog), fleet_(fleet), inventory_(inventory) {}
+      : settings_(settings), catalog_(catalog), term_(term), inventory_(inventory) {}
 
   // Takes over what a list shows: machines that have stopped, and, if the term is not settled long
   // after `first_list`, those that it waits for in vain.
@@ -35,21 +35,22 @@
   };
 
   void find_failed_boots(TimePoint now);
-  void release(const fleet::Machine& machine, TimePoint idle_since, FreeRoom& room, TimePoint now);
+  void release(const cluster::Machine& machine, TimePoint idle_since, FreeRoom& room,
+               TimePoint now);
   // Why it is of no use, whatever it says of itself.
-  std::optional<provisioning::ReturnReason> unusable(const fleet::Machine& machine,
+  std::optional<provisioning::ReturnReason> unusable(const cluster::Machine& machine,
                                                      TimePoint now) const;
-  bool idle_for_long(const fleet::Machine& machine, TimePoint idle_since, const FreeRoom& room,
+  bool idle_for_long(const cluster::Machine& machine, TimePoint idle_since, const FreeRoom& room,
                      TimePoint now) const;
-  bool gang_waits_for(const fleet::Machine& machine) const;
-  bool may_spare(const fleet::Machine& machine, const FreeRoom& room) const;
+  bool gang_waits_for(const cluster::Machine& machine) const;
+  bool may_spare(const cluster::Machine& machine, const FreeRoom& room) const;
   bool still_due(const std::string& machine, provisioning::ReturnReason reason) const;
   FreeRoom free_room() const;
   Seconds boot_time(const std::string& type) const;
 
   const Settings& settings_;
   const cloud::Catalog& catalog_;
-  fleet::Fleet& fleet_;
+  leader::Term& term_;
   const Inventory& inventory_;
   std::map<std::string, TimePoint> idle_since_;
   provisioning::Returns due_;
--- a/src/fleet/jobs.cpp
+++ b/src/cluster/job_table.cpp
@@ -1,25 +1,25 @@
-#include "fleet/jobs.hpp"
+#include "cluster/job_table.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::cluster {
 
-Job* Jobs::find(const std::string& id) {
+Job* JobTable::find(const std::string& id) {
   const auto it = by_id_.find(id);
   return it == by_id_.end() ? nullptr : it->second;
 }
 
-const Job* Jobs::find(const std::string& id) const {
+const Job* JobTable::find(const std::string& id) const {
   const auto it = by_id_.find(id);
   return it == by_id_.end() ? nullptr : it->second;
 }
 
-void Jobs::erase(const std::string& id) {
+void JobTable::erase(const std::string& id) {
   const auto it = all_.find(id);
   if (it == all_.end()) return;
   by_id_.erase(it->first);
   all_.erase(it);
 }
 
-Job& Jobs::add(JobSpec spec, std::uint64_t version, WallTime accepted) {
+Job& JobTable::add(JobSpec spec, std::uint64_t version, WallTime accepted) {
   const auto [it, added] = all_.try_emplace(spec.id);
   Job& job = it->second;
   if (!added) return job;
@@ -33,7 +33,7 @@
   return job;
 }
 
-bool Jobs::assign(Job& job, std::uint32_t index, Assignment assignment) {
+bool JobTable::assign(Job& job, std::uint32_t index, Assignment assignment) {
   if (index >= job.spec->tasks || job.done[index]) return false;
   const auto it = job.assignments.find(index);
   if (it != job.assignments.end()) {
@@ -44,9 +44,9 @@
   return true;
 }
 
-std::uint32_t Jobs::take_waiting(Job& job) { return job.waiting.take_first(); }
+std::uint32_t JobTable::take_waiting(Job& job) { return job.waiting.take_first(); }
 
-void Jobs::mark_running(Job& job, std::uint32_t index, const Assignment& assignment) {
+void JobTable::mark_running(Job& job, std::uint32_t index, const Assignment& assignment) {
   const auto it = job.assignments.find(index);
   if (it == job.assignments.end() || it->second.running ||
       it->second.machine != assignment.machine || it->second.attempt != assignment.attempt) {
@@ -56,7 +56,7 @@
   ++job.running;
 }
 
-void Jobs::unassign(Job& job, std::uint32_t index, const Assignment& assignment) {
+void JobTable::unassign(Job& job, std::uint32_t index, const Assignment& assignment) {
   const auto it = job.assignments.find(index);
   if (it == job.assignments.end() || it->second.machine != assignment.machine ||
       it->second.attempt != assignment.attempt) {
@@ -67,7 +67,7 @@
   if (!job.done[index]) job.waiting.insert(index);
 }
 
-bool Jobs::mark_done(Job& job, std::uint32_t index, std::size_t chunk) {
+bool JobTable::mark_done(Job& job, std::uint32_t index, std::size_t chunk) {
   if (index >= job.spec->tasks || job.done[index]) return false;
   job.done[index] = true;
   ++job.done_count;
@@ -76,11 +76,11 @@
   return true;
 }
 
-void Jobs::rebuild_waiting(Job& job) {
+void JobTable::rebuild_waiting(Job& job) {
   job.waiting.clear();
   for (std::uint32_t i = 0; i < job.spec->tasks; ++i) {
     if (!job.done[i] && job.assignments.count(i) == 0) job.waiting.insert(i);
   }
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::cluster
--- a/src/fleet/jobs.hpp
+++ b/src/cluster/job_table.hpp
@@ -10,9 +10,9 @@
 
 #include "base/model.hpp"
 #include "base/time.hpp"
-#include "fleet/task_set.hpp"
+#include "cluster/task_set.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::cluster {
 
 struct Assignment {
   std::string machine;
@@ -48,7 +48,7 @@
   bool all_done() const { return done_count == spec->tasks; }
 };
 
-class Jobs {
+class JobTable {
  public:
   Job* find(const std::string& id);
   const Job* find(const std::string& id) const;
@@ -76,4 +76,4 @@
   std::unordered_map<std::string_view, Job*> by_id_;
 };
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::cluster
--- a/src/fleet/machines.cpp
+++ b/src/cluster/machine_table.cpp
@@ -1,8 +1,8 @@
-#include "fleet/machines.hpp"
+#include "cluster/machine_table.hpp"
 
 #include <algorithm>
 
-namespace asterstair::fleet {
+namespace asterstair::cluster {
 
 bool Machine::has_active_attempts() const {
   return std::any_of(attempts.begin(), attempts.end(),
@@ -59,17 +59,17 @@
   }
 }
 
-Machine* Machines::find(const std::string& id) {
+Machine* MachineTable::find(const std::string& id) {
   const auto it = all_.find(id);
   return it == all_.end() ? nullptr : &it->second;
 }
 
-const Machine* Machines::find(const std::string& id) const {
+const Machine* MachineTable::find(const std::string& id) const {
   const auto it = all_.find(id);
   return it == all_.end() ? nullptr : &it->second;
 }
 
-void Machines::clear(Machine& m, std::vector<TaskEvent>& events) {
+void MachineTable::clear(Machine& m, std::vector<TaskEvent>& events) {
   for (auto& [key, o] : m.attempts) {
     if (o.phase == TaskAttempt::Phase::Terminated) continue;
     events.push_back({o.phase == TaskAttempt::Phase::Pending ? TaskEvent::Kind::NotStarted
@@ -142,13 +142,13 @@
 // What the heartbeat does not name is gone, or was never started. An order sent in the answer to an
 // earlier heartbeat is settled by the next one: the worker drops the answer to a heartbeat that it
 // has given up. An exited task was cleared, as told.
-void drop_unreported(Machine& m, Machines::Source source, std::vector<TaskEvent>& events) {
+void drop_unreported(Machine& m, MachineTable::Source source, std::vector<TaskEvent>& events) {
   for (auto it = m.attempts.begin(); it != m.attempts.end();) {
     const TaskAttempt& o = it->second;
     // An answer to a heartbeat may be under way while a direct command is answered: only the next
     // report can settle what it ordered.
     const bool open =
-        o.phase == TaskAttempt::Phase::Dispatched && source == Machines::Source::DirectAnswer;
+        o.phase == TaskAttempt::Phase::Dispatched && source == MachineTable::Source::DirectAnswer;
     if (o.observed_sequence == m.sequence || open || o.phase == TaskAttempt::Phase::Pending) {
       ++it;
       continue;
@@ -165,8 +165,8 @@
 
 }  // namespace
 
-Machines::Order Machines::apply(const Heartbeat& r, TimePoint now, double cache_gb,
-                                std::vector<TaskEvent>& events, Source source) {
+MachineTable::Order MachineTable::apply(const Heartbeat& r, TimePoint now, double cache_gb,
+                                    std::vector<TaskEvent>& events, Source source) {
   Machine& m = all_[r.machine];
   // Once a lease has run out here, what its epoch reported comes late, however new it looks:
   // the worker has killed and forgotten all of it.
@@ -181,4 +181,4 @@
   return Order::New;
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::cluster
--- a/src/fleet/machines.hpp
+++ b/src/cluster/machine_table.hpp
@@ -12,7 +12,7 @@
 #include "base/time.hpp"
 #include "sched/snapshot.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::cluster {
 
 // A task that is, or may be, on a machine.
 struct TaskAttempt {
@@ -105,7 +105,7 @@
   TaskAttempt task_attempt;  // as it was, or is, at that moment
 };
 
-class Machines {
+class MachineTable {
  public:
   Machine& at(const std::string& id) { return all_[id]; }
   Machine* find(const std::string& id);
@@ -127,4 +127,4 @@
   std::map<std::string, Machine> all_;
 };
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::cluster
--- a/src/fleet/task_set.cpp
+++ b/src/cluster/task_set.cpp
@@ -1,8 +1,8 @@
-#include "fleet/task_set.hpp"
+#include "cluster/task_set.hpp"
 
 #include <iterator>
 
-namespace asterstair::fleet {
+namespace asterstair::cluster {
 
 // The run that holds the task; the end if none does.
 TaskSet::Runs::const_iterator TaskSet::run_of(std::uint32_t task) const {
@@ -54,4 +54,4 @@
   return first;
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::cluster
--- a/src/fleet/task_set.hpp
+++ b/src/cluster/task_set.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <map>
 
-namespace asterstair::fleet {
+namespace asterstair::cluster {
 
 class TaskSet {
  public:
@@ -29,4 +29,4 @@
   std::uint32_t size_ = 0;
 };
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::cluster
--- a/src/fleet/commands.cpp
+++ b/src/leader/commands.cpp
@@ -1,9 +1,9 @@
 // What the answer to a heartbeat orders: stops, clears, and starts of what is planned there.
 
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 #include "sched/score.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::leader {
 namespace {
 
 // Of an answer, which must not be longer than PROTOCOL allows.
@@ -14,7 +14,7 @@
 // Any answer may renew the worker's lease, whatever else the heartbeat is good for, so none leaves
 // a task running whose job has ended: through one leader after the other it could outlast cancel_s.
 // What an earlier leader started was live when this term's view was asked for, unless it had ended.
-std::vector<Command> Fleet::stops_for_ended(const Heartbeat& r) const {
+std::vector<Command> Term::stops_for_ended(const Heartbeat& r) const {
   std::vector<Command> out;
   for (const auto& t : r.tasks) {
     if (t.state != TaskState::Exited && jobs_.find(t.task.job) == nullptr) {
@@ -25,7 +25,7 @@
 }
 
 // Gang members' losses add up; see DESIGN.
-std::optional<Seconds> Fleet::checkpoint_interval(const Job& job, const Machine& m) const {
+std::optional<Seconds> Term::checkpoint_interval(const Job& job, const Machine& m) const {
   if (job.spec->checkpoint.count() <= 0) return std::nullopt;
   double rate = 0;
   if (job.spec->gang()) {
@@ -39,14 +39,14 @@
 }
 
 // Whether an exited task may be cleared: a done one only once that is durable.
-bool Fleet::may_acknowledge(const TaskAttempt& o) const {
+bool Term::may_acknowledge(const TaskAttempt& o) const {
   if (o.acknowledge) return true;
   const Job* job = jobs_.find(o.task.job);
   return job == nullptr || (o.cause == ExitCause::Done && job->durable[o.task.index]);
 }
 
 // Nobody may run whose job is not live; looked up here so that no path can miss it.
-std::optional<Command> Fleet::stop_for(Machine& m, TaskAttempt& o) {
+std::optional<Command> Term::stop_for(Machine& m, TaskAttempt& o) {
   if (!o.stop && jobs_.find(o.task.job) == nullptr) stop_attempt(m, o, Seconds(0));
   const bool is_saving = o.state == TaskState::Saving && o.grace.count() > 0;
   if (!o.stop || is_saving) return std::nullopt;
@@ -54,7 +54,7 @@
 }
 
 // Plans that have come to nothing: their job has ended, or the machine may not be used any more.
-void Fleet::discard_stale_assignments(Machine& m) {
+void Term::discard_stale_assignments(Machine& m) {
   const bool machine_usable = usable(m);
   Events gone;
   for (auto it = m.attempts.begin(); it != m.attempts.end();) {
@@ -72,7 +72,7 @@
 }
 
 // Marks as ordered only what fits into the answer.
-void Fleet::order_starts(Machine& m, std::uint64_t sequence, std::vector<Command>& out) {
+void Term::order_starts(Machine& m, std::uint64_t sequence, std::vector<Command>& out) {
   if (!m.registered || launches_suspended_ || !usable(m)) return;
   for (auto& [key, o] : m.attempts) {
     if (out.size() >= kMostCommands) return;
@@ -86,7 +86,7 @@
   }
 }
 
-std::vector<Command> Fleet::commands_for(Machine& m, std::uint64_t sequence) {
+std::vector<Command> Term::commands_for(Machine& m, std::uint64_t sequence) {
   std::vector<Command> out, acknowledgements;
   bool any_planned = false;
   for (auto& [key, o] : m.attempts) {
@@ -107,4 +107,4 @@
   return out;
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::leader
--- a/src/fleet/durable.cpp
+++ b/src/leader/durable.cpp
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 #include "store/records.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::leader {
 namespace {
 
 constexpr std::size_t kRoomPerName = 40;  // bytes in a chunk of the machine registry
@@ -14,7 +14,7 @@
 
 // Writes keys that only the leader changes: conditional on leadership and on their versions. The
 // callback runs only while this term lasts.
-void Fleet::write_own(wire::Txn txn, store::Urgency urgency, std::function<void(bool)> done) {
+void Term::write_own(wire::Txn txn, store::Urgency urgency, std::function<void(bool)> done) {
   std::vector<std::string> keys;
   for (const auto& c : txn.changes) {
     keys.push_back(c.key);
@@ -39,7 +39,7 @@
 }
 
 // Looks which versions of the leader's own keys stand, so that a write may be tried again.
-void Fleet::read_versions(const std::vector<std::string>& keys, const std::function<void()>& done) {
+void Term::read_versions(const std::vector<std::string>& keys, const std::function<void()>& done) {
   auto left = std::make_shared<std::size_t>(keys.size());
   for (const auto& key : keys) {
     store_.get(key, [self = weak_from_this(), key, left, done](const store::ReadResult& r) {
@@ -53,21 +53,21 @@
 }
 
 // Of the machines that a chunk of the machine registry names, those that are there still.
-std::set<std::string> Fleet::present_in_registry(std::size_t chunk) const {
+std::set<std::string> Term::present_in_registry(std::size_t chunk) const {
   std::set<std::string> out;
   std::copy_if(registry_[chunk].begin(), registry_[chunk].end(), std::inserter(out, out.end()),
                [this](const std::string& id) { return present(id); });
   return out;
 }
 
-bool Fleet::present(const std::string& id) const {
+bool Term::present(const std::string& id) const {
   const Machine* m = machines_.find(id);
   return m != nullptr && !m->lease_expired;
 }
 
 // The first chunk that names machines that have gone, or has room for new ones; a new one if need
 // be.
-std::optional<std::size_t> Fleet::registry_chunk_to_write(std::size_t names_per_chunk) {
+std::optional<std::size_t> Term::registry_chunk_to_write(std::size_t names_per_chunk) {
   for (std::size_t chunk = 0; chunk < registry_.size(); ++chunk) {
     const auto& names = registry_[chunk];
     if (!registry_additions_.empty() && names.size() < names_per_chunk) return chunk;
@@ -80,7 +80,7 @@
   return registry_.size() - 1;
 }
 
-void Fleet::write_registry() {
+void Term::write_registry() {
   if (registry_write_in_flight_) return;
   for (auto it = registry_additions_.begin(); it != registry_additions_.end();) {
     const Machine* m = machines_.find(*it);
@@ -117,8 +117,8 @@
             });
 }
 
-void Fleet::registry_written(std::size_t chunk, const std::set<std::string>& names,
-                             const std::vector<std::string>& added) {
+void Term::registry_written(std::size_t chunk, const std::set<std::string>& names,
+                            const std::vector<std::string>& added) {
   registry_[chunk] = names;
   for (const auto& id : added) {
     registry_additions_.erase(id);
@@ -126,13 +126,13 @@
   }
 }
 
-void Fleet::begin_jobs() {
+void Term::begin_jobs() {
   for (auto& [id, job] : jobs_.all()) {
     if (!job.begun && !job.beginning) begin(job);
   }
 }
 
-void Fleet::begin(Job& job) {
+void Term::begin(Job& job) {
   job.beginning = true;
   wire::Txn txn;
   txn.conditions = {{store::live_key(job.spec->id), job.version}};
@@ -146,7 +146,7 @@
   });
 }
 
-void Fleet::flush(Job& job) {
+void Term::flush(Job& job) {
   if (job.flushing || job.ending) return;
   job.flushing = true;
   job.last_flush = runtime_.now();
@@ -180,7 +180,7 @@
             });
 }
 
-void Fleet::finish(Job& job) {
+void Term::finish(Job& job) {
   if (job.ending || !election_.lease_valid()) return;
   job.ending = true;
   auto txn =
@@ -198,4 +198,4 @@
                });
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::leader
--- a/src/fleet/moving.cpp
+++ b/src/leader/eviction.cpp
@@ -4,11 +4,11 @@
 #include <numeric>
 
 #include "base/log.hpp"
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 #include "sched/constraints.hpp"
 #include "sched/score.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::leader {
 namespace {
 
 constexpr Seconds kEndsSoon{15};
@@ -24,32 +24,32 @@
 
 }  // namespace
 
-void Fleet::drain(const std::string& id) {
+void Term::drain(const std::string& id) {
   Machine* m = machines_.find(id);
   if (m != nullptr && m->service == Machine::Service::InUse)
     m->service = Machine::Service::Draining;
 }
 
 // Also of a machine that has not been heard of: it may come up before the cloud takes it.
-void Fleet::begin_return(const std::string& id) {
+void Term::begin_return(const std::string& id) {
   returning_.insert(id);
   if (Machine* m = machines_.find(id)) m->service = Machine::Service::Returning;
 }
 
-bool Fleet::known_empty(const std::string& id) const {
+bool Term::known_empty(const std::string& id) const {
   const Machine* m = machines_.find(id);
   return m != nullptr && m->reconciled && m->service != Machine::Service::InUse &&
          m->attempts.empty();
 }
 
-void Fleet::open_returns_known() {
+void Term::open_returns_known() {
   open_returns_known_ = true;
   finish_loading();
 }
 
 // Whether all that runs there is worth moving: it can save, and has more left than a move costs;
 // or ends soon by itself.
-bool Fleet::can_move(const Machine& m) const {
+bool Term::can_move(const Machine& m) const {
   const auto now = runtime_.now();
   bool any = false;
   for (const auto& [key, o] : m.attempts) {
@@ -135,7 +135,7 @@
 }  // namespace
 
 // Its tasks that save are stopped, to go on elsewhere; the others end soon.
-void Fleet::empty(Machine& m) {
+void Term::empty(Machine& m) {
   log::info("machine {} is emptied: others have room for its tasks", m.id);
   m.service = Machine::Service::Draining;
   for (auto& [key, o] : m.attempts) {
@@ -145,7 +145,7 @@
   }
 }
 
-void Fleet::consolidate(const std::function<bool(const Machine&)>& spare) {
+void Term::consolidate(const std::function<bool(const Machine&)>& spare) {
   if (!reconciled_ || !election_.lease_valid() || !demand_.empty()) return;
   auto s = snapshot();
   if (!s.jobs.empty()) return;
@@ -166,7 +166,7 @@
   }
 }
 
-void Fleet::machine_gone(const std::string& id) {
+void Term::machine_gone(const std::string& id) {
   returning_.erase(id);
   // Names come in the order of the rentals: the oldest are the least likely to be heard of again.
   gone_.insert(id);
@@ -184,4 +184,4 @@
   check_reconciled();
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::leader
--- a/src/fleet/gangs.cpp
+++ b/src/leader/gangs.cpp
@@ -1,11 +1,11 @@
 // Whole-gang stops and preemption notices, and the direct path that tells a gang in time.
 
 #include "base/log.hpp"
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 #include "sched/score.hpp"
 #include "wire/worker.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::leader {
 namespace {
 
 constexpr double kEndsInTime = 0.7;  // of a notice: estimates are rough
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void Fleet::check_gangs() {
+void Term::check_gangs() {
   // A gang that lost a task stops whole (DESIGN). The others must be told within gang_peer_s.
   DirectStops direct;
   for (auto& [id, job] : jobs_.all()) {
@@ -30,7 +30,7 @@
   send_direct(direct);
 }
 
-void Fleet::send_direct(const DirectStops& stops, bool read_answers) {
+void Term::send_direct(const DirectStops& stops, bool read_answers) {
   if (stops.empty() || !election_.lease_valid()) return;
   std::map<std::string, std::vector<Command>> by_machine;
   for (const auto& [machine, c] : stops) by_machine[machine].push_back(c);
@@ -43,7 +43,7 @@
   pump_direct();
 }
 
-void Fleet::pump_direct() {
+void Term::pump_direct() {
   const auto most_in_flight =
       std::max(kLeastDirectsInFlight, settings_.max_connections / kSocketsPerDirect);
   while (!directs_.empty() && directs_in_flight_ < most_in_flight && election_.lease_valid()) {
@@ -73,7 +73,7 @@
 }
 
 // How long a task may take to save if it is to be stopped on the notice: none if it may go on.
-std::optional<Seconds> Fleet::grace_before_reclaim(const Machine& m, const TaskAttempt& o) const {
+std::optional<Seconds> Term::grace_before_reclaim(const Machine& m, const TaskAttempt& o) const {
   const auto now = runtime_.now();
   const Seconds left = m.reclaim_at ? Seconds(*m.reclaim_at - now) : kNoNotice;
   const auto& job = *o.job;
@@ -88,7 +88,7 @@
 }
 
 // The whole gang is told at once, wherever its tasks are.
-void Fleet::stop_gang(const Job& job, Seconds grace, DirectStops& direct) {
+void Term::stop_gang(const Job& job, Seconds grace, DirectStops& direct) {
   for (const auto& [index, assignment] : job.assignments) {
     Machine* m = machines_.find(assignment.machine);
     TaskAttempt* o =
@@ -101,7 +101,7 @@
   }
 }
 
-void Fleet::on_preemption_notice(Machine& m) {
+void Term::on_preemption_notice(Machine& m) {
   // A drained machine's tasks may end by themselves.
   if (!m.reclaim_at && !m.faulty) return;
   DirectStops direct;
@@ -118,4 +118,4 @@
   send_direct(direct);
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::leader
--- a/src/fleet/reports.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 #include "store/records.hpp"
 #include "wire/user.hpp"
 #include "wire/worker.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::leader {
 namespace {
 
 constexpr auto kLeaseMargin = 300ms;         // beyond drift: steps between clock reading and action
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-HttpResponse Fleet::on_heartbeat(const Heartbeat& r) {
+HttpResponse Term::on_heartbeat(const Heartbeat& r) {
   const auto now = runtime_.now();
   last_heartbeat_at_ = now;
   any_heartbeat_ = true;
@@ -80,7 +80,7 @@
   }
   const bool epoch_lost = m.reconciled && r.epoch > m.epoch;
   Events events;
-  if (machines_.apply(r, now, cache_gb(r.type), events) == Machines::Order::Late) {
+  if (machines_.apply(r, now, cache_gb(r.type), events) == MachineTable::Order::Late) {
     return {200, wire::encode_commands(token_, stops_for_ended(r))};
   }
   pending_reconciliation_.erase(m.id);
@@ -103,7 +103,7 @@
 // Not answered any more, its lease surely runs out, here too, and the term settles without it. That
 // a later epoch shows in its heartbeats would prove nothing: a late copy may have been the first to
 // arrive, and the later epoch may hold tasks that an earlier leader started.
-bool Fleet::never_sees_token(const Machine& m) const {
+bool Term::never_sees_token(const Machine& m) const {
   return !m.reconciled && !m.lease_expired && m.first_answered &&
          runtime_.now() - *m.first_answered >
              settings_.lease * kTokenTimeoutLeaseNumerator / kTokenTimeoutLeaseDenominator;
@@ -111,16 +111,16 @@
 
 // The answer to a direct command shows at once what the next heartbeat would show: room that has
 // come free, above all.
-void Fleet::direct_answer(const Heartbeat& r) {
+void Term::direct_answer(const Heartbeat& r) {
   Machine* m = machines_.find(r.machine);
   if (m == nullptr || !m->reconciled || m->lease_expired || r.token != token_ ||
       r.epoch != m->epoch) {
     return;
   }
   Events events;
-  const auto source = Machines::Source::DirectAnswer;
+  const auto source = MachineTable::Source::DirectAnswer;
   if (machines_.apply(r, runtime_.now(), cache_gb(r.type), events, source) ==
-      Machines::Order::Late) {
+      MachineTable::Order::Late) {
     return;
   }
   handle(*m, events);
@@ -130,7 +130,7 @@
 // A machine whose reports arrive while nothing reaches it takes up work that never starts. After a
 // few orders that did not show it must keep its epoch for a whole lease, which it can only if
 // answers reach it, before it gets more.
-void Fleet::check_responsiveness(Machine& m, const Events& events) {
+void Term::check_responsiveness(Machine& m, const Events& events) {
   for (const auto& e : events) {
     if (e.kind == TaskEvent::Kind::Started) {
       m.starts_unseen = m.epochs_lost = 0;
@@ -149,7 +149,7 @@
   }
 }
 
-void Fleet::seems_unresponsive(Machine& m) {
+void Term::seems_unresponsive(Machine& m) {
   const auto now = runtime_.now();
   if (!m.unresponsive_since) {
     m.unresponsive_since = now;
@@ -159,7 +159,7 @@
   m.unresponsive_until = now + settings_.lease + settings_.heartbeat_interval * 2 + kLeaseMargin;
 }
 
-void Fleet::handle(Machine& m, const Events& events) {
+void Term::handle(Machine& m, const Events& events) {
   for (const auto& e : events) {
     const TaskAttempt& o = e.task_attempt;
     plan_wanted_ = true;
@@ -174,7 +174,7 @@
       }
       case TaskEvent::Kind::Running:
         if (Job* job = jobs_.find(o.task.job); job != nullptr) {
-          Jobs::mark_running(*job, o.task.index, {m.id, o.attempt});
+          JobTable::mark_running(*job, o.task.index, {m.id, o.attempt});
           if (!job->ran) note_running(*job);
         }
         break;
@@ -183,7 +183,7 @@
         Job* job = jobs_.find(o.task.job);
         if (job != nullptr) here.job = job->spec;
         // A reported task whose job is not live is killed; so is one that is done or elsewhere.
-        if (job == nullptr || !Jobs::assign(*job, o.task.index, {m.id, o.attempt})) {
+        if (job == nullptr || !JobTable::assign(*job, o.task.index, {m.id, o.attempt})) {
           stop_attempt(m, here, Seconds(0));
         } else {
           job->first_started = true;
@@ -204,7 +204,7 @@
 }
 
 // Tells once when a job's first tasks, or all of a gang, run: how long it waited for what.
-void Fleet::note_running(Job& job) {
+void Term::note_running(Job& job) {
   if (job.spec->gang()) {
     if (!job.waiting.empty()) return;
     for (const auto& [index, assignment] : job.assignments) {
@@ -219,7 +219,7 @@
             job.spec->job_class, job.spec->tasks, job.room_after.count(), age_of(job).count());
 }
 
-void Fleet::on_exit(Machine& m, const TaskAttempt& o) {
+void Term::on_exit(Machine& m, const TaskAttempt& o) {
   TaskAttempt& here = m.attempts.at({o.attempt, o.task});
   const auto now = runtime_.now();
   Job* job = jobs_.find(o.task.job);
@@ -234,8 +234,8 @@
     // A gang completes together: when one task is done, every task is.
     const auto first = job->spec->gang() ? 0 : o.task.index;
     const auto last = job->spec->gang() ? job->spec->tasks - 1 : o.task.index;
-    for (auto i = first; i <= last; ++i) Jobs::mark_done(*job, i, i / per);
-    Jobs::unassign(*job, o.task.index, {m.id, o.attempt});
+    for (auto i = first; i <= last; ++i) JobTable::mark_done(*job, i, i / per);
+    JobTable::unassign(*job, o.task.index, {m.id, o.attempt});
     if (job->all_done()) finish(*job);
     return;  // cleared once that is durable
   }
@@ -259,7 +259,7 @@
   on_gone(m, o, false);
 }
 
-void Fleet::on_error(Machine& m, Job& job) {
+void Term::on_error(Machine& m, Job& job) {
   const auto now = runtime_.now();
   const bool new_here = job.failed_on.insert(m.id).second;
   if (job.failed_on.size() >= kBadJobMachines) {
@@ -290,7 +290,7 @@
   }
 }
 
-void Fleet::on_gone(Machine& m, const TaskAttempt& o, bool lost) {
+void Term::on_gone(Machine& m, const TaskAttempt& o, bool lost) {
   Job* job = jobs_.find(o.task.job);
   if (job == nullptr) return;
   const auto it = job->assignments.find(o.task.index);
@@ -307,10 +307,10 @@
   }
   if (lost) log::debug("{}/{} lost on {}", o.task.job, o.task.index, m.id);
   if (o.running_since != TimePoint{}) job->last_zone = m.zone;
-  Jobs::unassign(*job, o.task.index, {m.id, o.attempt});
+  JobTable::unassign(*job, o.task.index, {m.id, o.attempt});
 }
 
-void Fleet::stop_attempt(Machine& m, TaskAttempt& o, Seconds grace) {
+void Term::stop_attempt(Machine& m, TaskAttempt& o, Seconds grace) {
   if (o.stop && o.grace <= grace) return;
   m.changed = true;
   o.stop = true;
@@ -318,7 +318,7 @@
   if (o.phase == TaskAttempt::Phase::Terminated) o.acknowledge = true;
 }
 
-void Fleet::expire_leases() {
+void Term::expire_leases() {
   const auto now = runtime_.now();
   const auto out =
       to_duration(Seconds(seconds(settings_.lease) * (1 + kClockDrift))) + kLeaseMargin;
@@ -339,11 +339,11 @@
 }
 
 // Plans for machines that have become unreachable, or were given up, go to others.
-void Fleet::release_plans() {
+void Term::release_plans() {
   const auto now = runtime_.now();
   for (auto& [id, m] : machines_.all()) {
     if (!m.attempts.empty() && !usable(m, now)) discard_stale_assignments(m);
   }
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::leader
--- a/src/fleet/placement.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 #include "sched/constraints.hpp"
 #include "sched/planner.hpp"
 #include "sched/preemption.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::leader {
 namespace {
 
 // Plans follow one another no faster than this, and take up no more than a share of the processor
@@ -21,7 +21,7 @@
 }  // namespace
 
 // At once, or as soon as plans may follow one another.
-void Fleet::plan_soon() {
+void Term::plan_soon() {
   const auto now = runtime_.now();
   if (now >= next_plan_) {
     plan();
@@ -37,7 +37,7 @@
 }
 
 // Machines a job failed on are left out for it while others may do: by job, refs of machines.
-std::vector<std::set<std::size_t>> Fleet::machines_to_avoid() const {
+std::vector<std::set<std::size_t>> Term::machines_to_avoid() const {
   std::vector<std::set<std::size_t>> out(planned_jobs_.size());
   for (std::size_t i = 0; i < planned_jobs_.size(); ++i) {
     const auto& failed_on = planned_jobs_[i]->failed_on;
@@ -50,13 +50,13 @@
 }
 
 // Numbers from the token and a counter are never used twice, by any leader.
-std::uint64_t Fleet::next_attempt() {
+std::uint64_t Term::next_attempt() {
   constexpr unsigned kCounterBits = 24;
   return (token_ << kCounterBits) | ++attempts_;
 }
 
 // Tasks of a gang share one attempt.
-void Fleet::bind(const sched::Placement& p, std::map<std::string, std::uint64_t>& gangs) {
+void Term::bind(const sched::Placement& p, std::map<std::string, std::uint64_t>& gangs) {
   Job& job = *planned_jobs_[p.job];
   Machine& m = *planned_machines_[p.machine];
   m.changed = true;
@@ -70,7 +70,7 @@
     } else {
       attempt = next_attempt();
     }
-    const auto index = Jobs::take_waiting(job);
+    const auto index = JobTable::take_waiting(job);
     job.assignments[index] = {m.id, attempt};
     TaskAttempt o;
     o.task = {job.spec->id, index};
@@ -82,7 +82,7 @@
 }
 
 // What found no room, within the teams' limits.
-void Fleet::update_demand(const sched::Snapshot& s, const sched::Plan& plan) {
+void Term::update_demand(const sched::Snapshot& s, const sched::Plan& plan) {
   const auto& aims = settings_.objectives;
   const bool urgent = std::any_of(aims.begin(), aims.end(),
                                   [](const Objective& o) { return o.kind == "guarantee"; });
@@ -97,7 +97,7 @@
   }
 }
 
-void Fleet::plan() {
+void Term::plan() {
   if (!recovered_ || !election_.lease_valid() || !view_is_fresh() || !catalog_.known()) return;
   plan_wanted_ = false;
   const auto now = runtime_.now();
@@ -127,7 +127,7 @@
 }
 
 // What a task would lose if it were stopped now.
-Seconds Fleet::work_lost_by_stop(const TaskAttempt& o) const {
+Seconds Term::work_lost_by_stop(const TaskAttempt& o) const {
   if (o.running_since == TimePoint{}) return Seconds(0);
   if (o.job->checkpoint.count() > 0) return o.job->save;
   return Seconds(runtime_.now() - o.running_since);
@@ -135,7 +135,7 @@
 
 // One whose start is under way is told to stop by the answer to the heartbeat that shows it: on a
 // machine with many short tasks there is always one such.
-std::vector<sched::PreemptionCandidate> Fleet::preemption_candidates(
+std::vector<sched::PreemptionCandidate> Term::preemption_candidates(
     const sched::Snapshot& s, const sched::Plan& plan, std::vector<CandidateRef>& refs) const {
   // Worth a look only if some of the work may stop some of the rest.
   auto highest = Priority::Low;
@@ -158,7 +158,7 @@
   return out;
 }
 
-void Fleet::preempt(sched::Snapshot& s, sched::Plan& plan) {
+void Term::preempt(sched::Snapshot& s, sched::Plan& plan) {
   std::vector<CandidateRef> refs;
   const auto candidates = preemption_candidates(s, plan, refs);
   plan.steps += candidates.size();
@@ -177,4 +177,4 @@
   send_direct(direct, true);
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::leader
--- a/src/fleet/snapshot.cpp
+++ b/src/leader/snapshot.cpp
@@ -5,10 +5,10 @@
 
 #include <algorithm>
 
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 #include "sched/order.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::leader {
 namespace {
 
 // Accelerator work that comes within this time finds room kept.
@@ -19,7 +19,7 @@
 }  // namespace
 
 // Takes over what has changed on the machine since the last look.
-void Fleet::refresh(Machine& m) {
+void Term::refresh(Machine& m) {
   if (!m.changed) return;
   m.changed = false;
   for (const auto& [team, use] : m.usage.teams) team_use_[team].add(use, -1);
@@ -29,7 +29,7 @@
 
 // Machines with tasks of jobs that this node knows nothing of get nothing; the room that these can
 // take is added to `unknown`.
-void Fleet::add_machines(sched::Snapshot& s, InZone& in_zone, sched::Resources& unknown) {
+void Term::add_machines(sched::Snapshot& s, InZone& in_zone, sched::Resources& unknown) {
   s.machines.reserve(machines_.all().size());
   std::map<std::pair<std::string_view, bool>, double> rates;
   const auto now = runtime_.now();
@@ -62,7 +62,7 @@
 
 // Tasks of jobs that ended before this term: whose they are is no longer known, and until they are
 // gone they may be any team's, up to all the room they can take.
-void Fleet::add_teams(sched::Snapshot& s, const sched::Resources& unknown) {
+void Term::add_teams(sched::Snapshot& s, const sched::Resources& unknown) {
   for (const auto& [name, t] : settings_.teams) {
     auto used = team_use_[name];
     if (t.cpus_max > 0 || t.gpus_max > 0) used.add(unknown);
@@ -71,7 +71,7 @@
 }
 
 // Work with accelerators as it has come lately.
-void Fleet::expect_accelerator_work(sched::Snapshot& s) const {
+void Term::expect_accelerator_work(sched::Snapshot& s) const {
   double gpus = 0, cpus = 0;
   for (const auto& a : arrivals_) {
     if (a.job->gpus <= 0) continue;
@@ -83,7 +83,7 @@
   s.keep_gpus = gpus * (kKeepFor / Seconds(kArrivalWindow));
 }
 
-std::vector<Job*> Fleet::jobs_by_arrival() {
+std::vector<Job*> Term::jobs_by_arrival() {
   std::vector<Job*> out;
   out.reserve(jobs_.all().size());
   for (auto& [id, job] : jobs_.all()) out.push_back(&job);
@@ -94,7 +94,7 @@
 }
 
 // Keeps since when nothing of the job is, or may be, anywhere.
-void Fleet::note_idle(Job& job) const {
+void Term::note_idle(Job& job) const {
   if (!job.assignments.empty()) {
     job.idle_since.reset();
   } else if (!job.idle_since) {
@@ -104,7 +104,7 @@
   }
 }
 
-bool Fleet::may_be_placed(const Job& job) const {
+bool Term::may_be_placed(const Job& job) const {
   if (job.waiting.empty() || runtime_.now() < job.not_before || job.ending) return false;
   // All of a gang or nothing, and nothing while an old attempt is anywhere.
   if (job.spec->gang() && job.waiting.size() != job.spec->tasks) return false;
@@ -117,13 +117,13 @@
   return unlimited;
 }
 
-bool Fleet::any_may_be_placed() const {
+bool Term::any_may_be_placed() const {
   const auto& jobs = jobs_.all();
   return std::any_of(jobs.begin(), jobs.end(),
                      [this](const auto& job) { return may_be_placed(job.second); });
 }
 
-sched::PlanJob Fleet::plan_job(const Job& job, bool guaranteed) const {
+sched::PlanJob Term::plan_job(const Job& job, bool guaranteed) const {
   sched::PlanJob p;
   p.ref = planned_jobs_.size();
   p.job = job.spec.get();
@@ -141,7 +141,7 @@
   return p;
 }
 
-sched::Snapshot Fleet::snapshot() {
+sched::Snapshot Term::snapshot() {
   sched::Snapshot s;
   planned_machines_.clear();
   planned_jobs_.clear();
@@ -163,4 +163,4 @@
   return s;
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::leader
--- a/src/fleet/fleet.cpp
+++ b/src/leader/term.cpp
@@ -1,12 +1,12 @@
 // The term as a whole: its loop, and what others ask of it.
 
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 
 #include <algorithm>
 
 #include "base/log.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::leader {
 namespace {
 
 constexpr auto kTick = 250ms;
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-Fleet::Fleet(Runtime& runtime, store::Store& store, const leader::Election& election,
-             const Settings& settings, const cloud::Catalog& catalog)
+Term::Term(Runtime& runtime, store::Store& store, const leader::Election& election,
+           const Settings& settings, const cloud::Catalog& catalog)
     : runtime_(runtime),
       store_(store),
       election_(election),
@@ -34,12 +34,12 @@
       previous_leaders_expiry_(election.previous_leaders_expiry()),
       last_heartbeat_at_(runtime.now()) {}
 
-void Fleet::start() {
+void Term::start() {
   load();
   tick();
 }
 
-void Fleet::tick() {
+void Term::tick() {
   if (!alive()) return;
   runtime_.after(kTick, [self = weak_from_this()] {
     if (const auto f = self.lock()) f->tick();
@@ -72,7 +72,7 @@
 }
 
 // How full the fleet is, for whoever reads the log.
-void Fleet::sum_up() const {
+void Term::sum_up() const {
   sched::Resources room, used;
   std::size_t up = 0, waiting = 0;
   for (const auto& [id, m] : machines_.all()) {
@@ -89,14 +89,14 @@
       up, used.cpus, room.cpus, used.gpus, room.gpus, waiting, demand_.size());
 }
 
-bool Fleet::usable(const Machine& m, TimePoint now) const {
+bool Term::usable(const Machine& m, TimePoint now) const {
   return m.reconciled && !m.lease_expired && m.service == Machine::Service::InUse && !m.faulty &&
          !m.reclaim_at && !m.unresponsive_since && now >= m.no_room_until &&
          now >= m.paused_until &&
          now - m.last_heartbeat < settings_.heartbeat_interval * 5 / 2 + 1s;
 }
 
-bool Fleet::heartbeats_lost() const {
+bool Term::heartbeats_lost() const {
   if (!recovered_ || runtime_.now() - last_heartbeat_at_ <
                          settings_.heartbeat_interval * 5 / 4 + kHeartbeatGrace) {
     return false;
@@ -107,23 +107,23 @@
          }) >= kSeveral;
 }
 
-double Fleet::cache_gb(const std::string& type) const {
+double Term::cache_gb(const std::string& type) const {
   const auto* t = catalog_.find(type);
   return t == nullptr ? 0 : t->cache_gb;
 }
 
-Seconds Fleet::age_of(const Job& job) const {
+Seconds Term::age_of(const Job& job) const {
   return std::max(Seconds(0), Seconds(runtime_.wall() - job.accepted));
 }
 
-Seconds Fleet::remaining_of(const Job& job) const {
+Seconds Term::remaining_of(const Job& job) const {
   double saved = 0;
   if (job.spec->tasks == 1 && !job.saved_s.empty()) saved = job.saved_s.begin()->second;
   return std::max(Seconds(1), job.spec->estimate - Seconds(saved));
 }
 
 // Until the next aim that can still be met; negative once none can.
-double Fleet::slack_of(const Job& job, Seconds remaining) const {
+double Term::slack_of(const Job& job, Seconds remaining) const {
   const double age = age_of(job).count();
   constexpr double kNoAim = 3600;  // then by age
   bool any = false;
@@ -145,7 +145,7 @@
   return any || late == -kNoAim ? best : late;
 }
 
-std::map<std::pair<std::string, bool>, std::size_t> Fleet::group_sizes() const {
+std::map<std::pair<std::string, bool>, std::size_t> Term::group_sizes() const {
   std::map<std::pair<std::string, bool>, std::size_t> out;
   for (const auto& [id, m] : machines_.all()) {
     if (m.reconciled && !m.lease_expired) ++out[{m.zone, m.spot}];
@@ -153,7 +153,7 @@
   return out;
 }
 
-std::vector<JobCounts> Fleet::counts() const {
+std::vector<JobCounts> Term::counts() const {
   std::vector<JobCounts> out;
   for (const auto& [id, job] : jobs_.all()) {
     if (job.done_count > 0 || job.running > 0) out.push_back({id, job.done_count, job.running});
@@ -161,7 +161,7 @@
   return out;
 }
 
-double Fleet::loss_rate(const Machine& m) const {
+double Term::loss_rate(const Machine& m) const {
   const auto now = runtime_.now();
   // Looked up for every start: counted anew only now and then.
   if (sizes_.empty() || now - sizes_at_ > kSizesEvery) {
@@ -172,4 +172,4 @@
   return losses_.rate({m.zone, m.spot}, n == sizes_.end() ? 1 : n->second, now);
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::leader
--- a/src/fleet/fleet.hpp
+++ b/src/leader/term.hpp
@@ -1,6 +1,6 @@
 #pragma once
 // One term of leadership: the wanted state (live jobs done) against what the workers heartbeat, and
-// the loops that work out the difference. A Fleet lives from one election to its loss; its
+// the loops that work out the difference. A Term lives from one election to its loss; its
 // successor starts from the state service and the workers' heartbeats.
 
 #include <deque>
@@ -12,14 +12,23 @@
 #include "base/runtime.hpp"
 #include "base/settings.hpp"
 #include "cloud/catalog.hpp"
-#include "fleet/jobs.hpp"
-#include "fleet/machines.hpp"
+#include "cluster/job_table.hpp"
+#include "cluster/machine_table.hpp"
 #include "leader/election.hpp"
 #include "sched/loss.hpp"
 #include "sched/snapshot.hpp"
 #include "store/store.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::leader {
+
+using cluster::Assignment;
+using cluster::AttemptId;
+using cluster::Job;
+using cluster::JobTable;
+using cluster::Machine;
+using cluster::MachineTable;
+using cluster::TaskAttempt;
+using cluster::TaskEvent;
 
 // Waiting work that the machines at hand have no room for.
 struct Demand {
@@ -46,10 +55,10 @@
   std::uint32_t done = 0, running = 0;
 };
 
-class Fleet : public std::enable_shared_from_this<Fleet> {
+class Term : public std::enable_shared_from_this<Term> {
  public:
-  Fleet(Runtime& runtime, store::Store& store, const leader::Election& election,
-        const Settings& settings, const cloud::Catalog& catalog);
+  Term(Runtime& runtime, store::Store& store, const leader::Election& election,
+       const Settings& settings, const cloud::Catalog& catalog);
   void start();
   void stop() { stopped_ = true; }
 
@@ -77,8 +86,8 @@
   bool usable(const Machine& machine, TimePoint now) const;
   const std::vector<Demand>& demand() const { return demand_; }
   const std::deque<Arrival>& arrivals() const { return arrivals_; }
-  const Machines& machines() const { return machines_; }
-  const Jobs& jobs() const { return jobs_; }
+  const MachineTable& machines() const { return machines_; }
+  const JobTable& jobs() const { return jobs_; }
   const sched::LossRates& losses() const { return losses_; }
   std::vector<JobCounts> counts() const;
   std::map<std::pair<std::string, bool>, std::size_t> group_sizes() const;
@@ -217,8 +226,8 @@
   std::set<std::string> cancelled_;
   std::deque<std::string> cancelled_order_;
   std::uint64_t live_revision_ = 0;
-  Jobs jobs_;
-  Machines machines_;
+  JobTable jobs_;
+  MachineTable machines_;
   std::set<std::string> gone_;  // returned during this term, or before as the operation log tells
   std::set<std::string> returning_;  // as far as begin_return() has told
   // Versions of the keys that only the leader writes. A write that was never answered may be
@@ -241,4 +250,4 @@
   std::deque<Arrival> arrivals_;  // within kArrivalWindow
 };
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::leader
--- a/src/fleet/loading.cpp
+++ b/src/leader/term_recovery.cpp
@@ -4,10 +4,10 @@
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "fleet/fleet.hpp"
+#include "leader/term.hpp"
 #include "store/records.hpp"
 
-namespace asterstair::fleet {
+namespace asterstair::leader {
 namespace {
 
 // Jobs confirmed as cancelled that the watch may yet tell of as live; it is seconds late at most
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-void Fleet::reload_later() {
+void Term::reload_later() {
   runtime_.after(300ms, [self = weak_from_this()] {
     if (const auto f = self.lock(); f && f->alive()) f->load();
   });
 }
 
-void Fleet::load() {
+void Term::load() {
   const auto asked = runtime_.now();
   store_.list(store::kLivePrefix, [self = weak_from_this(), asked](const store::ListResult& r) {
     const auto f = self.lock();
@@ -52,7 +52,7 @@
   });
 }
 
-void Fleet::load_progress() {
+void Term::load_progress() {
   store_.list(store::kProgressPrefix, [self = weak_from_this()](const store::ListResult& r) {
     const auto f = self.lock();
     if (!f || !f->alive()) return;
@@ -89,14 +89,14 @@
       if (job.begun_before) {
         job.waiting.clear();
       } else {
-        Jobs::rebuild_waiting(job);
+        JobTable::rebuild_waiting(job);
       }
     }
     f->load_registry();
   });
 }
 
-void Fleet::load_registry() {
+void Term::load_registry() {
   store_.list(store::kMachineRegistryPrefix, [self = weak_from_this()](const store::ListResult& r) {
     const auto f = self.lock();
     if (!f || !f->alive()) return;
@@ -112,7 +112,7 @@
   });
 }
 
-void Fleet::add_registry_chunk(const wire::Item& item) {
+void Term::add_registry_chunk(const wire::Item& item) {
   versions_[item.key] = item.version;
   std::set<std::string> chunk;
   try {
@@ -134,7 +134,7 @@
   registry_.push_back(std::move(chunk));
 }
 
-void Fleet::finish_loading() {
+void Term::finish_loading() {
   if (recovered_ || !registry_loaded_ || !open_returns_known_) return;
   recovered_ = true;
   log::info("term {}: {} live jobs, {} machines to hear from", token_, jobs_.all().size(),
@@ -143,7 +143,7 @@
   check_reconciled();
 }
 
-void Fleet::watch(std::uint64_t after, Duration wait) {
+void Term::watch(std::uint64_t after, Duration wait) {
   // The view is as old as the question: an answer may have been held up on its way.
   const auto asked = runtime_.now();
   store_.watch(store::kLivePrefix, after, wait,
@@ -173,7 +173,7 @@
                });
 }
 
-void Fleet::add_live(const wire::Item& item) {
+void Term::add_live(const wire::Item& item) {
   try {
     auto record = store::decode_live(*item.value);
     if (cancelled_.count(record.job.id) != 0) return;
@@ -191,7 +191,7 @@
   }
 }
 
-void Fleet::job_ended(const std::string& id) {
+void Term::job_ended(const std::string& id) {
   const Job* job = jobs_.find(id);
   if (job == nullptr) return;
   // Whatever of it is left serves nobody: stopped at once, and cleared when it has ended. Told
@@ -217,7 +217,7 @@
   plan_wanted_ = true;
 }
 
-void Fleet::cancelled(const std::string& id) {
+void Term::cancelled(const std::string& id) {
   if (!cancelled_.insert(id).second) return;
   cancelled_order_.push_back(id);
   if (cancelled_order_.size() > kMostCancelled) {
@@ -227,14 +227,14 @@
   job_ended(id);
 }
 
-void Fleet::check_reconciled() {
+void Term::check_reconciled() {
   if (reconciled_ || !recovered_ || !pending_reconciliation_.empty()) return;
   reconciled_ = true;
   for (auto& [id, job] : jobs_.all()) {
-    if (job.begun_before) Jobs::rebuild_waiting(job);
+    if (job.begun_before) JobTable::rebuild_waiting(job);
   }
   plan_wanted_ = true;
   log::info("term {}: settled after {:.1f} s", token_, seconds(runtime_.now() - elected_at_));
 }
 
-}  // namespace asterstair::fleet
+}  // namespace asterstair::leader
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -56,19 +56,19 @@
 
 void Node::elected() {
   lost();
-  fleet_ = std::make_shared<fleet::Fleet>(runtime_, store_, election_, settings_, catalog_);
+  term_ = std::make_shared<leader::Term>(runtime_, store_, election_, settings_, catalog_);
   autoscaler_ = std::make_shared<autoscale::Autoscaler>(runtime_, cloud_, provisioning_, settings_,
-                                                        catalog_, fleet_);
-  fleet_->start();
+                                                        catalog_, term_);
+  term_->start();
   autoscaler_->start();
   send_gossip(gossip_message());
 }
 
 void Node::lost() {
   if (autoscaler_) autoscaler_->stop();
-  if (fleet_) fleet_->stop();
+  if (term_) term_->stop();
   autoscaler_.reset();
-  fleet_.reset();
+  term_.reset();
   provisioning_.end_term();
 }
 
@@ -131,10 +131,10 @@
   runtime_.after(kGossipInterval, [this] { gossip(); });
   auto message = this->gossip_message();
   message.cancelled = cancellations_.jobs(runtime_.now());
-  if (fleet_) {
+  if (term_) {
     std::unordered_map<std::string, frontend::Counts> counts;
     std::size_t bytes = 0;
-    for (const auto& c : fleet_->counts()) {
+    for (const auto& c : term_->counts()) {
       counts[c.job] = {c.done, c.running};
       bytes += c.job.size() + wire::kPeerEntryOverhead;
       // Counts serve only for display: the peers show the others as queued.
@@ -153,7 +153,7 @@
 // The leader may be the one node that the state service refuses: its watch would tell it nothing.
 // So whoever confirms a cancellation tells the peers before the user.
 void Node::cancelled(const std::string& job) {
-  if (fleet_) fleet_->cancelled(job);
+  if (term_) term_->cancelled(job);
   cancellations_.add(job, runtime_.now());
   auto message = this->gossip_message();
   message.leader.clear();  // it brings no counts
@@ -183,11 +183,11 @@
 // nothing starts or leases run out. A peer that is better off takes over as soon as it hears of
 // it.
 void Node::check_leadership() {
-  if (!fleet_) return;
+  if (!term_) return;
   const auto now = runtime_.now();
   const bool store_lost =
       store_.failing_since() != TimePoint{} && now - store_.failing_since() > kStoreLost;
-  const bool workers_lost = fleet_->heartbeats_lost() && store_.answered_within(kStoreAnswerWindow);
+  const bool workers_lost = term_->heartbeats_lost() && store_.answered_within(kStoreAnswerWindow);
   if (!store_lost && !workers_lost) return;
   for (const auto& [node, s] : peers_.all()) {
     if (!PeerTable::recent(s, now) || !s.store_reachable) continue;
@@ -198,7 +198,7 @@
     // the others. Where nobody hears them all machines may be gone, and leaders would hand over for
     // ever, none of them waiting until the leases have run out.
     const bool workers_better =
-        workers_lost && (fleet_->any_heartbeat() || s.last_heartbeat > fleet_->last_heartbeat_at());
+        workers_lost && (term_->any_heartbeat() || s.last_heartbeat > term_->last_heartbeat_at());
     if (!store_better && !workers_better) continue;
     log::info("{} is better off: the {} here", node,
               store_better ? "state service does not answer" : "workers are not heard");
@@ -225,15 +225,15 @@
   if (message->stepped_down_token != 0)
     election_.claim_after_step_down(message->stepped_down_token);
   if (message->leader == message->node) election_.on_higher_token(message->token);
-  if (fleet_) {
+  if (term_) {
     for (const auto& job : message->cancelled) {
-      if (wire::valid_job_id(job)) fleet_->cancelled(job);
+      if (wire::valid_job_id(job)) term_->cancelled(job);
     }
   }
   if (message->leader == message->node && message->token >= gossiped_token_) {
     gossiped_leader_ = message->node;
     gossiped_token_ = message->token;
-    if (!fleet_) {
+    if (!term_) {
       std::unordered_map<std::string, frontend::Counts> counts;
       for (const auto& c : message->counts) counts[c.job] = {c.done, c.running};
       frontend_.set_counts(std::move(counts));
@@ -275,7 +275,7 @@
   }
   // Entitlement alone does not do: a touch may succeed again while the watch has not yet told what
   // was cancelled meanwhile.
-  if (!election_.lease_valid() || !fleet_ || !fleet_->view_is_fresh()) {
+  if (!election_.lease_valid() || !term_ || !term_->view_is_fresh()) {
     respond(failure(503, "not entitled to give commands at present"));
     return;
   }
@@ -291,8 +291,8 @@
     respond(failure(503, "a newer leader has been seen"));
     return;
   }
-  fleet_->suspend_launches(may_miss_cancellations());
-  respond(fleet_->on_heartbeat(r));
+  term_->suspend_launches(may_miss_cancellations());
+  respond(term_->on_heartbeat(r));
 }
 
 void Node::handle(HttpRequest request, const std::function<void(HttpResponse)>& respond) {
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -11,9 +11,9 @@
 #include "base/settings.hpp"
 #include "cloud/catalog.hpp"
 #include "cloud/cloud.hpp"
-#include "fleet/fleet.hpp"
 #include "frontend/frontend.hpp"
 #include "leader/election.hpp"
+#include "leader/term.hpp"
 #include "node/peer_table.hpp"
 #include "node/recent_cancellations.hpp"
 #include "provisioning/provisioning_controller.hpp"
@@ -54,7 +54,7 @@
   frontend::Frontend frontend_;
   leader::Election election_;
   provisioning::ProvisioningController provisioning_;
-  std::shared_ptr<fleet::Fleet> fleet_;
+  std::shared_ptr<leader::Term> term_;
   std::shared_ptr<autoscale::Autoscaler> autoscaler_;
   PeerTable peers_;
   RecentCancellations cancellations_;
--- a/src/store/write_queue.cpp
+++ b/src/store/write_queue.cpp
@@ -12,7 +12,7 @@
 
 constexpr auto kTimeout = 1500ms;
 // Users wait 5 s for the answer to a submission: it is given up before that.
-constexpr auto kTimeout = 3s;
+constexpr auto kQueueTimeout = 3s;
 constexpr std::size_t kMostInFlight = 4;
 // Of a waiting write, beside its keys and values: the callback and the containers.
 constexpr std::size_t kWriteOverhead = 512;
@@ -84,7 +84,7 @@
     return;
   }
   w.txn = std::move(txn);
-  w.give_up = link_.now() + kTimeout;
+  w.give_up = link_.now() + kQueueTimeout;
   w.done = std::move(done);
   queue.bytes += w.size + kWriteOverhead;
   queue.writes.push_back(std::move(w));
--- a/tests/autoscale_test.cpp
+++ b/tests/autoscale_test.cpp
@@ -16,7 +16,7 @@
     MachineType gpu{"gpu", 16, 2, 64, 50, 1, 6, 2, Seconds(10), {"a"}};
     catalog.set({cpu, gpu});
   }
-  fleet::Demand demand(std::uint32_t tasks, double cpus, double gpus, bool spot) {
+  leader::Demand demand(std::uint32_t tasks, double cpus, double gpus, bool spot) {
     auto job = std::make_shared<JobSpec>();
     job->tasks = tasks;
     job->cpus = cpus;
@@ -25,7 +25,7 @@
     job->spot = spot;
     return {job, tasks, Seconds(60), 100};
   }
-  std::vector<DesiredMachines> want(const std::vector<fleet::Demand>& d,
+  std::vector<DesiredMachines> want(const std::vector<leader::Demand>& d,
                                     const std::map<std::string, PendingMachine>& pending = {}) {
     return desired_machines(d, pending,
                             {catalog, [this](const Pool& p) { return refused.count(p) != 0; },
--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -4,7 +4,7 @@
 #include <unistd.h>
 #include <uv.h>
 
-#include "fleet/jobs.hpp"
+#include "cluster/job_table.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 #include "sim/scenario.hpp"
@@ -54,14 +54,14 @@
   JobSpec spec;
   spec.id = "req-000001";
   spec.tasks = 100'000;
-  fleet::Jobs jobs;
+  cluster::JobTable jobs;
   const auto before = allocations();
-  fleet::Job& job = jobs.add(spec, 1, {});
+  cluster::Job& job = jobs.add(spec, 1, {});
   // Two bits a task, and what a job takes by itself.
   EXPECT_LE(allocations().since(before).held, 2 * 100'000 / 8 + 4096);
   EXPECT_EQ(job.waiting.size(), 100'000U);
   EXPECT_EQ(job.waiting.runs(), 1U);
-  for (std::uint32_t i = 0; i < 1000; ++i) EXPECT_EQ(fleet::Jobs::take_waiting(job), i);
+  for (std::uint32_t i = 0; i < 1000; ++i) EXPECT_EQ(cluster::JobTable::take_waiting(job), i);
   EXPECT_EQ(job.waiting.runs(), 1U);
 }
 
--- a/tests/load/profile.sh
+++ b/tests/load/profile.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Instructions that a node spends, by callgrind on seeded runs of a large fleet; the counts repeat.
-# Usage: tests/load/profile.sh BUILD_DIR [leader|siblings|takeover|start] [machines per pool] [seconds]
+# Usage: tests/load/profile.sh BUILD_DIR [leader|peers|takeover|start] [machines per pool] [seconds]
 #   leader    reports, questions and the loops of the node that leads
-#   siblings  hints to and from the siblings, on all nodes
+#   peers     gossip to and from the peers, on all nodes
 #   takeover  the twenty seconds after the leader has ended, with what the stand-ins spend: look at
 #             the lines of the functions
 #   start     the program's start until its settings are read; seconds and machines do not matter
@@ -30,11 +30,11 @@
 
 case $mode in
   leader)
-    profile 'asterstair::Node::handle*' 'asterstair::fleet::Fleet::tick*' \
+    profile 'asterstair::Node::handle*' 'asterstair::leader::Term::tick*' \
       'asterstair::autoscale::Autoscaler::tick*' -- "$build/asterstair_leader_load" "$per_pool" "$seconds"
     ;;
-  siblings)
-    profile 'asterstair::Node::share_hints*' 'asterstair::Node::peer_message*' \
+  peers)
+    profile 'asterstair::Node::gossip*' 'asterstair::Node::peer_message*' \
       -- "$build/asterstair_leader_load" "$per_pool" "$seconds"
     ;;
   takeover)
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -98,7 +98,7 @@
 
 // A leader is holding a valid lease as long as its grant is touched. One that has claimed the key
 // but cannot read the live jobs would renew the leases of cancelled tasks for ever. Guard:
-// Node::report asks Fleet::current().
+// Node::report asks Term::current().
 TEST(ViewOfTheLiveJobs, WithoutOneNoLeaseIsRenewed) {
   Scenario s(41, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
   const auto id = s.submit(array(4, 400));
@@ -154,7 +154,7 @@
 }
 
 // Leaders that follow one another before the workers heartbeat twice to any of them: each first
-// answer renews the leases once. Guard: Fleet::stops_for_ended.
+// answer renews the leases once. Guard: Term::stops_for_ended.
 TEST(Leaders, FirstAnswersStopTasksOfEndedJobs) {
   Scenario s(44, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
   const auto id = s.submit(array(2, 400));
@@ -184,7 +184,7 @@
 }
 
 // The leader alone is refused: its watch tells nothing, handing over takes seconds.
-// Guards: Node::cancelled tells the peers; Fleet::job_ended stops directly.
+// Guards: Node::cancelled tells the peers; Term::job_ended stops directly.
 TEST(Cancellations, ReachALeaderThatIsRefusedAlone) {
   Scenario s(45, 3, 5);
   const auto id = s.submit(array(8, 400));
@@ -271,7 +271,7 @@
 
 // A job is cancelled while nobody leads; the next leader cannot know whose its tasks are, and their
 // stops are held up. Until they are gone they count against the limit of the team.
-// Guard: Fleet::snapshot, unknown tasks.
+// Guard: Term::snapshot, unknown tasks.
 TEST(TeamLimit, HoldsWhileTasksOfAJobCancelledBeforeTheTermRemain) {
   Scenario s(50);
   s.submit(array(8, 400, "red"));  // 32 of 40 processors
@@ -349,7 +349,7 @@
 // Machines have lost a lease and work in their second epoch when the leader ends; answers do not
 // reach one of them. A late copy from its first epoch is what the next leader hears of it first:
 // the second epoch is no news of the term, and holds what the earlier leader started. Guard:
-// Fleet::report draws nothing from epochs whose begin it has not seen.
+// Term::report draws nothing from epochs whose begin it has not seen.
 TEST(LateReports, OfAnEarlierSessionDoNotShowThatALaterOneIsEmpty) {
   for (const std::uint64_t seed : {67, 68, 69}) {
     Scenario s(seed, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
@@ -586,7 +586,7 @@
 
 // A machine that never hears the new leader keeps reporting: for as long as that lasted, the term
 // did not settle, and teams with a limit and all earlier jobs waited. Not answered any more,
-// its lease runs out here too. Guard: Fleet::never_sees_token.
+// its lease runs out here too. Guard: Term::never_sees_token.
 TEST(Leaders, SettleBesideAMachineThatNeverHearsThem) {
   Scenario s(62, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
   s.submit(array(8, 400));
@@ -605,7 +605,7 @@
 }
 
 // Tasks of an array with a mistake fail by the dozen within a second: the machine is not at fault,
-// and what else runs there stays. Guard: Fleet::on_error counts failures by pauses.
+// and what else runs there stays. Guard: Term::on_error counts failures by pauses.
 TEST(Mistakes, OfAJobAreNotHeldAgainstMachines) {
   Scenario s(63, 1);
   auto good = array(24, 300);
@@ -663,7 +663,7 @@
 
 // The leader's first write of the machine registry gets no answer and is carried out after a newer
 // one, which names more machines. Undone, the next leader would not wait for a machine that cannot
-// be asked. Guard: Fleet::write_own, the versions of the leader's own keys.
+// be asked. Guard: Term::write_own, the versions of the leader's own keys.
 TEST(LateTransactions, DoNotUndoANewerRoster) {
   Scenario s(65, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
   std::string held;
--- a/tests/troubles_test.cpp
+++ b/tests/troubles_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "fleet/machines.hpp"
+#include "cluster/machine_table.hpp"
 #include "sim/scenario.hpp"
 
 namespace {
@@ -119,8 +119,8 @@
   static TaskStatus task(std::uint64_t attempt) {
     return {{"req-1", 0}, attempt, TaskState::Running, ExitCause::None, false};
   }
-  fleet::Machines machines;
-  std::vector<fleet::TaskEvent> events;
+  cluster::MachineTable machines;
+  std::vector<cluster::TaskEvent> events;
 };
 
 // What a epoch says after its lease has run out here comes late, however new it looks.
@@ -131,11 +131,12 @@
   m.lease_expired = true;
   m.first_valid_epoch = m.epoch + 1;
   events.clear();
-  EXPECT_EQ(machines.apply(report(1, 6, {task(7)}), {}, 0, events), fleet::Machines::Order::Late);
+  EXPECT_EQ(machines.apply(report(1, 6, {task(7)}), {}, 0, events),
+            cluster::MachineTable::Order::Late);
   EXPECT_TRUE(events.empty());
   EXPECT_TRUE(m.attempts.empty());
   EXPECT_TRUE(m.lease_expired);
-  EXPECT_EQ(machines.apply(report(2, 7), {}, 0, events), fleet::Machines::Order::New);
+  EXPECT_EQ(machines.apply(report(2, 7), {}, 0, events), cluster::MachineTable::Order::New);
   EXPECT_FALSE(m.lease_expired);
 }
 
@@ -144,18 +145,18 @@
 TEST_F(MachineView, ADirectAnswerDoesNotSettleAnOrder) {
   machines.apply(report(1, 1), {}, 0, events);
   auto& m = machines.at("n-1");
-  fleet::TaskAttempt o;
+  cluster::TaskAttempt o;
   o.task = {"req-1", 0};
   o.attempt = 9;
-  o.phase = fleet::TaskAttempt::Phase::Dispatched;
-  m.attempts.emplace(fleet::AttemptId{9, o.task}, o);
+  o.phase = cluster::TaskAttempt::Phase::Dispatched;
+  m.attempts.emplace(cluster::AttemptId{9, o.task}, o);
   events.clear();
-  machines.apply(report(1, 2), {}, 0, events, fleet::Machines::Source::DirectAnswer);
+  machines.apply(report(1, 2), {}, 0, events, cluster::MachineTable::Source::DirectAnswer);
   EXPECT_TRUE(events.empty());
   EXPECT_EQ(m.attempts.size(), 1U);
   machines.apply(report(1, 3), {}, 0, events);
   ASSERT_EQ(events.size(), 1U);
-  EXPECT_EQ(events[0].kind, fleet::TaskEvent::Kind::NotStarted);
+  EXPECT_EQ(events[0].kind, cluster::TaskEvent::Kind::NotStarted);
   EXPECT_TRUE(m.attempts.empty());
 }
 
