--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -93,7 +93,8 @@
 
 std::optional<provisioning::ReturnReason> ReturnPolicy::unusable(const cluster::Machine& m,
                                                                  TimePoint now) const {
-  if (m.unresponsive_since && now - *m.unresponsive_since > settings_.lease * kUnresponsiveLeases) {
+  if (m.health.unresponsive_since &&
+      now - *m.health.unresponsive_since > settings_.lease * kUnresponsiveLeases) {
     return provisioning::ReturnReason::Unreachable;
   }
   if (m.lease_expired && now - m.last_answered > settings_.lease + kLeaseExpiredTimeout) {
@@ -118,11 +119,11 @@
   using provisioning::ReturnReason;
   if (m.service != cluster::Machine::Service::InUse) {
     if (m.attempts.empty()) {
-      due_.emplace(m.id, m.faulty ? ReturnReason::Faulty : ReturnReason::Idle);
+      due_.emplace(m.id, m.health.faulty ? ReturnReason::Faulty : ReturnReason::Idle);
     }
     return;
   }
-  if (!m.faulty && !idle_for_long(m, idle_since, room, now)) return;
+  if (!m.health.faulty && !idle_for_long(m, idle_since, room, now)) return;
   term_.drain(m.id);
   // No longer there for what may come.
   const auto* type = catalog_.find(m.type);
--- a/src/cluster/task_set.cpp
+++ b/src/cluster/task_set.cpp
@@ -4,7 +4,6 @@
 
 namespace asterstair::cluster {
 
-// The run that holds the task; the end if none does.
 TaskSet::Runs::const_iterator TaskSet::run_of(std::uint32_t task) const {
   const auto next = runs_.upper_bound(task);
   if (next == runs_.begin()) return runs_.end();
--- a/src/cluster/task_set.hpp
+++ b/src/cluster/task_set.hpp
@@ -1,28 +1,33 @@
 #pragma once
-// A set of task numbers, kept as runs of consecutive ones: of an array of 100,000 tasks that all
-// wait it takes one entry.
+/// \file
+/// A compact set of task indexes.
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 
 namespace asterstair::cluster {
 
+/// A set of task indexes, kept as runs of consecutive ones: a job array of 100,000 waiting tasks
+/// takes one entry.
 class TaskSet {
  public:
   std::uint32_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
   bool contains(std::uint32_t task) const;
   void clear();
-  // Neither has an effect if the task is, or is not, there already.
+  /// Adds the task; no effect if it is there.
   void insert(std::uint32_t task);
+  /// Removes the task; no effect if it is not there.
   void erase(std::uint32_t task);
-  // Takes the lowest number out; there must be one.
+  /// Removes and returns the lowest index; there must be one.
   std::uint32_t take_first();
-  // Runs of consecutive numbers: what the set costs in memory.
+  /// The number of runs, which is what the set costs in memory.
   std::size_t runs() const { return runs_.size(); }
 
  private:
-  using Runs = std::map<std::uint32_t, std::uint32_t>;  // the first and the last of each
+  using Runs = std::map<std::uint32_t, std::uint32_t>;  // the first and the last index of each run
+  // The run that holds the task; the end if none does.
   Runs::const_iterator run_of(std::uint32_t task) const;
 
   Runs runs_;
--- /dev/null
+++ b/src/leader/attempt_tracker.cpp
@@ -0,0 +1,224 @@
+#include "leader/attempt_tracker.hpp"
+
+#include <algorithm>
+
+#include "base/log.hpp"
+#include "store/records.hpp"
+
+namespace asterstair::leader {
+namespace {
+
+using cluster::Job;
+using cluster::JobTable;
+using cluster::Machine;
+using cluster::TaskAttempt;
+using cluster::TaskEvent;
+
+const char* cause_name(ExitCause cause) {
+  switch (cause) {
+    case ExitCause::None:
+      return "unstated";
+    case ExitCause::Done:
+      return "done";
+    case ExitCause::Stopped:
+      return "stopped";
+    case ExitCause::Peers:
+      return "peers";
+    case ExitCause::Alone:
+      return "alone";
+    case ExitCause::Error:
+      return "error";
+    case ExitCause::NoRoom:
+      return "no room";
+    case ExitCause::Busy:
+      return "busy";
+    case ExitCause::Unknown:
+      return "unknown";
+  }
+  return "";
+}
+
+/// The run time in seconds that checkpoints have kept of an attempt that has ended.
+double saved_seconds(const TaskAttempt& attempt, const JobSpec& job, TimePoint now) {
+  const double ran = seconds(now - *attempt.running_since);
+  if (attempt.saved) return ran;
+  const double interval = job.checkpoint.count();
+  return static_cast<double>(static_cast<std::int64_t>(ran / interval)) * interval;
+}
+
+}  // namespace
+
+void AttemptTracker::apply(Machine& machine, const std::vector<TaskEvent>& events) {
+  for (const auto& event : events) {
+    trigger_.request();
+    apply_event(machine, event);
+  }
+}
+
+void AttemptTracker::apply_event(Machine& machine, const TaskEvent& event) {
+  switch (event.kind) {
+    case TaskEvent::Kind::Started:
+      on_started(machine, event.attempt);
+      break;
+    case TaskEvent::Kind::Running:
+      on_running(machine, event.attempt);
+      break;
+    case TaskEvent::Kind::Adopted:
+      on_adopted(machine, event.attempt);
+      break;
+    case TaskEvent::Kind::Exited:
+      on_exited(machine, event.attempt);
+      break;
+    case TaskEvent::Kind::NotStarted:
+      unassign(machine, event.attempt);
+      break;
+    case TaskEvent::Kind::Vanished:
+      on_lost(machine, event.attempt);
+      break;
+  }
+}
+
+void AttemptTracker::on_started(const Machine& machine, const TaskAttempt& attempt) {
+  Job* job = cluster_.jobs.find(attempt.task.job);
+  if (job == nullptr || job->first_task_started) return;
+  job->first_task_started = true;
+  log::info("job {} of {}: first task on {} after {:.1f} s", attempt.task.job, job->spec->job_class,
+            machine.id, timing_.age(*job).count());
+}
+
+void AttemptTracker::on_running(const Machine& machine, const TaskAttempt& attempt) {
+  Job* job = cluster_.jobs.find(attempt.task.job);
+  if (job == nullptr) return;
+  JobTable::mark_running(*job, attempt.task.index, {machine.id, attempt.attempt});
+  if (!job->ran) log_first_run(*job);
+}
+
+// A reported task is stopped if its job is not live, or if the task is done or assigned elsewhere.
+void AttemptTracker::on_adopted(Machine& machine, const TaskAttempt& attempt) {
+  TaskAttempt& adopted = machine.attempts.at({attempt.attempt, attempt.task});
+  Job* job = cluster_.jobs.find(attempt.task.job);
+  if (job != nullptr) adopted.job = job->spec;
+  if (job == nullptr ||
+      !JobTable::assign(*job, attempt.task.index, {machine.id, attempt.attempt})) {
+    machine.request_stop(adopted, Seconds(0));
+  } else {
+    job->first_task_started = true;
+  }
+}
+
+void AttemptTracker::on_exited(Machine& machine, const TaskAttempt& attempt) {
+  Job* job = cluster_.jobs.find(attempt.task.job);
+  if (job != nullptr && attempt.cause == ExitCause::Done) {
+    on_done(machine, attempt, *job);  // acknowledged once that is durable
+    return;
+  }
+  machine.attempts.at({attempt.attempt, attempt.task}).acknowledge = true;
+  if (job != nullptr) on_failed(machine, attempt, *job);
+}
+
+// A gang completes together: when one task is done, every task is.
+void AttemptTracker::on_done(Machine& machine, const TaskAttempt& attempt, Job& job) {
+  health_.on_task_done(machine);
+  const auto tasks_per_chunk = store::tasks_per_chunk(context_.settings.value_bytes);
+  const auto first = job.spec->gang() ? 0 : attempt.task.index;
+  const auto last = job.spec->gang() ? job.spec->tasks - 1 : attempt.task.index;
+  for (auto task = first; task <= last; ++task) {
+    JobTable::mark_done(job, task, task / tasks_per_chunk);
+  }
+  JobTable::unassign(job, attempt.task.index, {machine.id, attempt.attempt});
+  if (job.all_done()) progress_.complete(job);
+}
+
+void AttemptTracker::on_failed(Machine& machine, const TaskAttempt& attempt, Job& job) {
+  log::debug("{}/{} ended on {}: {}{}", attempt.task.job, attempt.task.index, machine.id,
+             cause_name(attempt.cause), attempt.saved ? ", saved" : "");
+  switch (attempt.cause) {
+    case ExitCause::Error:
+      health_.on_task_failed(machine, job);
+      break;
+    case ExitCause::NoRoom:
+      health_.on_start_refused(machine);
+      break;
+    case ExitCause::Busy:
+    case ExitCause::Unknown:
+      job.not_before = context_.now() + WorkerHealth::kInitialBackoff;
+      break;
+    default:
+      break;
+  }
+  unassign(machine, attempt);
+}
+
+void AttemptTracker::on_lost(const Machine& machine, const TaskAttempt& attempt) {
+  if (!unassign(machine, attempt)) return;
+  log::debug("{}/{} lost on {}", attempt.task.job, attempt.task.index, machine.id);
+}
+
+// Keeps what is known of the task's progress, and lets it wait for its next attempt.
+bool AttemptTracker::unassign(const Machine& machine, const TaskAttempt& attempt) {
+  Job* job = cluster_.jobs.find(attempt.task.job);
+  if (job == nullptr) return false;
+  const auto task = attempt.task.index;
+  const auto assignment = job->assignments.find(task);
+  if (assignment == job->assignments.end() || assignment->second.machine != machine.id ||
+      assignment->second.attempt != attempt.attempt) {
+    return false;
+  }
+  if (attempt.running_since) {
+    if (job->spec->checkpoint.count() > 0) {
+      job->saved_seconds[task] += saved_seconds(attempt, *job->spec, context_.now());
+    }
+    job->last_zone = machine.zone;
+  }
+  JobTable::unassign(*job, task, {machine.id, attempt.attempt});
+  return true;
+}
+
+// Logs once how long a job has waited: for its first task, or for all tasks of a gang.
+void AttemptTracker::log_first_run(Job& job) {
+  if (job.spec->gang() && !all_running(job)) return;
+  job.ran = true;
+  log::info("job {} of {}: {} tasks, room after {:.1f} s, running after {:.1f} s", job.spec->id,
+            job.spec->job_class, job.spec->tasks, job.age_when_assigned.count(),
+            timing_.age(job).count());
+}
+
+bool AttemptTracker::all_running(const Job& job) {
+  if (!job.waiting.empty()) return false;
+  return std::all_of(job.assignments.begin(), job.assignments.end(), [&](const auto& entry) {
+    const auto& [index, assignment] = entry;
+    Machine* machine = cluster_.machines.find(assignment.machine);
+    if (machine == nullptr) return false;
+    const TaskAttempt* attempt = machine->find_attempt({job.spec->id, index}, assignment.attempt);
+    return attempt != nullptr && attempt->state == TaskState::Running;
+  });
+}
+
+void AttemptTracker::discard_stale_assignments(Machine& machine) {
+  const bool schedulable = health_.schedulable(machine);
+  std::vector<TaskEvent> events;
+  for (auto entry = machine.attempts.begin(); entry != machine.attempts.end();) {
+    const TaskAttempt& attempt = entry->second;
+    const bool stale =
+        attempt.stopping() || !schedulable || cluster_.jobs.find(attempt.task.job) == nullptr;
+    if (attempt.phase != TaskAttempt::Phase::Pending || !stale) {
+      ++entry;
+      continue;
+    }
+    events.push_back({TaskEvent::Kind::NotStarted, attempt});
+    entry = machine.attempts.erase(entry);
+    machine.usage_stale = true;
+  }
+  apply(machine, events);
+}
+
+void AttemptTracker::release_unschedulable_machines() {
+  const auto now = context_.now();
+  for (auto& [id, machine] : cluster_.machines.all()) {
+    if (!machine.attempts.empty() && !health_.schedulable(machine, now)) {
+      discard_stale_assignments(machine);
+    }
+  }
+}
+
+}  // namespace asterstair::leader
--- /dev/null
+++ b/src/leader/attempt_tracker.hpp
@@ -0,0 +1,59 @@
+#pragma once
+/// \file
+/// Applies what is learnt of task attempts to the job table.
+
+#include <vector>
+
+#include "cluster/cluster_state.hpp"
+#include "leader/job_progress_log.hpp"
+#include "leader/job_timing.hpp"
+#include "leader/scheduling_trigger.hpp"
+#include "leader/term_context.hpp"
+#include "leader/worker_health.hpp"
+
+namespace asterstair::leader {
+
+/// Turns task events into transitions of jobs: assignments, progress, retries. Owned by Term.
+class AttemptTracker {
+ public:
+  AttemptTracker(const TermContext& context, cluster::ClusterState& cluster,
+                 const JobTiming& timing, WorkerHealth& health, JobProgressLog& progress,
+                 SchedulingTrigger& trigger)
+      : context_(context),
+        cluster_(cluster),
+        timing_(timing),
+        health_(health),
+        progress_(progress),
+        trigger_(trigger) {}
+
+  /// Applies the events of one machine in their order.
+  void apply(cluster::Machine& machine, const std::vector<cluster::TaskEvent>& events);
+  /// Removes pending attempts that will not be started: their job has ended, they are to be
+  /// stopped, or the machine may not be given work any more.
+  void discard_stale_assignments(cluster::Machine& machine);
+  /// The same for all machines that may not be given work.
+  void release_unschedulable_machines();
+
+ private:
+  void apply_event(cluster::Machine& machine, const cluster::TaskEvent& event);
+  void on_started(const cluster::Machine& machine, const cluster::TaskAttempt& attempt);
+  void on_running(const cluster::Machine& machine, const cluster::TaskAttempt& attempt);
+  void on_adopted(cluster::Machine& machine, const cluster::TaskAttempt& attempt);
+  void on_exited(cluster::Machine& machine, const cluster::TaskAttempt& attempt);
+  void on_done(cluster::Machine& machine, const cluster::TaskAttempt& attempt, cluster::Job& job);
+  void on_failed(cluster::Machine& machine, const cluster::TaskAttempt& attempt, cluster::Job& job);
+  void on_lost(const cluster::Machine& machine, const cluster::TaskAttempt& attempt);
+  // False if the task was not assigned to this attempt.
+  bool unassign(const cluster::Machine& machine, const cluster::TaskAttempt& attempt);
+  void log_first_run(cluster::Job& job);
+  bool all_running(const cluster::Job& job);
+
+  const TermContext& context_;
+  cluster::ClusterState& cluster_;
+  const JobTiming& timing_;
+  WorkerHealth& health_;
+  JobProgressLog& progress_;
+  SchedulingTrigger& trigger_;
+};
+
+}  // namespace asterstair::leader
--- /dev/null
+++ b/src/leader/direct_command_dispatcher.cpp
@@ -0,0 +1,69 @@
+#include "leader/direct_command_dispatcher.hpp"
+
+#include <algorithm>
+#include <map>
+
+#include "base/log.hpp"
+#include "wire/worker.hpp"
+
+namespace asterstair::leader {
+namespace {
+
+constexpr auto kRequestTimeout = 2s;
+// A job may be on hundreds of machines, some of them unreachable, and the state service needs
+// connections too: direct commands get one socket in so many.
+constexpr std::size_t kMinInFlight = 24;
+constexpr std::size_t kSocketsPerRequest = 32;
+constexpr std::size_t kMaxQueuedPerMachine = 4;
+
+}  // namespace
+
+void DirectCommandDispatcher::send(const std::vector<DirectCommand>& commands, Response response) {
+  if (commands.empty() || !context_.election.lease_valid()) return;
+  std::map<std::string, std::vector<Command>> by_machine;
+  for (const auto& [machine, command] : commands) by_machine[machine].push_back(command);
+  const auto give_up_at = context_.now() + context_.settings.heartbeat_interval;
+  for (auto& [machine, machine_commands] : by_machine) {
+    if (queue_.size() >= kMaxQueuedPerMachine * machines_.all().size()) break;
+    queue_.push_back({machine, std::move(machine_commands), give_up_at, response});
+  }
+  send_queued();
+}
+
+void DirectCommandDispatcher::send_queued() {
+  const auto max_in_flight =
+      std::max(kMinInFlight, context_.settings.max_connections / kSocketsPerRequest);
+  while (!queue_.empty() && in_flight_ < max_in_flight && context_.election.lease_valid()) {
+    const Request request = std::move(queue_.front());
+    queue_.pop_front();
+    const auto* machine = machines_.find(request.machine);
+    if (machine == nullptr || machine->address.empty()) continue;
+    if (request.give_up_at < context_.now()) continue;
+    send_request(request, *machine);
+  }
+}
+
+void DirectCommandDispatcher::send_request(const Request& request,
+                                           const cluster::Machine& machine) {
+  ++in_flight_;
+  auto body = wire::encode_direct(context_.token, machine.epoch, request.commands);
+  auto on_result = [this, response = request.response](const HttpResponse& answer) {
+    on_answer(answer, response);
+  };
+  context_.runtime.http(machine.address, {"POST", std::string(wire::kDirectPath), std::move(body)},
+                        kRequestTimeout, context_.while_alive(std::move(on_result)));
+}
+
+void DirectCommandDispatcher::on_answer(const HttpResponse& answer, Response response) {
+  --in_flight_;
+  if (response == Response::Apply && answer.status == 200) {
+    try {
+      on_response_(wire::decode_heartbeat(answer.body));
+    } catch (const wire::DecodeError& error) {
+      log::error("malformed response to a direct command: {}", error.what());
+    }
+  }
+  send_queued();
+}
+
+}  // namespace asterstair::leader
--- /dev/null
+++ b/src/leader/gang_controller.cpp
@@ -0,0 +1,100 @@
+#include "leader/gang_controller.hpp"
+
+#include "sched/score.hpp"
+
+namespace asterstair::leader {
+namespace {
+
+using cluster::Job;
+using cluster::Machine;
+using cluster::TaskAttempt;
+
+// A task is expected to end before its machine is taken if its estimate fits into this part of the
+// notice: estimates are rough.
+constexpr double kUsableNotice = 0.7;
+constexpr Seconds kNoNotice{3600};  // taken for the notice of a machine that has none
+constexpr Seconds kRestartTime{1};  // of a task that finds its image cached
+
+}  // namespace
+
+void GangController::stop_broken_gangs() {
+  std::vector<DirectCommand> commands;
+  for (const auto& [id, job] : cluster_.jobs.all()) {
+    if (!job.spec->gang() || job.assignments.empty() || job.waiting.empty()) continue;
+    stop_gang(job, Seconds(0), commands);
+  }
+  direct_commands_.send(commands);
+}
+
+// A draining machine's tasks may end by themselves.
+void GangController::on_preemption_notice(Machine& machine) {
+  if (!machine.reclaim_at && !machine.health.faulty) return;
+  std::vector<DirectCommand> commands;
+  for (auto& [id, attempt] : machine.attempts) {
+    if (attempt.phase != TaskAttempt::Phase::Observed || attempt.stopping() || !attempt.job) {
+      continue;
+    }
+    const auto grace = grace_before_reclaim(machine, attempt);
+    if (!grace) continue;
+    if (!attempt.job->gang()) {
+      machine.request_stop(attempt, *grace);
+    } else if (const Job* job = cluster_.jobs.find(attempt.task.job)) {
+      stop_gang(*job, *grace, commands);
+    }
+  }
+  direct_commands_.send(commands);
+}
+
+// How long a task may take to save if it is to be stopped; none if it may go on.
+std::optional<Seconds> GangController::grace_before_reclaim(const Machine& machine,
+                                                            const TaskAttempt& attempt) const {
+  const auto now = context_.now();
+  const Seconds left = machine.reclaim_at ? Seconds(*machine.reclaim_at - now) : kNoNotice;
+  const JobSpec& job = *attempt.job;
+  if (job.checkpoint.count() > 0 && sched::final_save_fits(job.save, kRestartTime, left)) {
+    return grace_to_save(job);
+  }
+  // A task that can neither save nor end in time is lost in any case. It restarts elsewhere sooner
+  // if it is stopped now than after the machine's lease has expired.
+  const Seconds ran = attempt.running_since ? Seconds(now - *attempt.running_since) : Seconds(0);
+  if (!machine.reclaim_at || job.estimate - ran <= left * kUsableNotice) return std::nullopt;
+  return Seconds(0);
+}
+
+Seconds GangController::grace_to_save(const JobSpec& job) const {
+  if (job.checkpoint.count() <= 0) return Seconds(0);
+  return job.save + Seconds(context_.settings.gang_peer);
+}
+
+void GangController::stop_gang(const Job& job, Seconds grace,
+                               std::vector<DirectCommand>& commands) {
+  for (const auto& [index, assignment] : job.assignments) {
+    Machine* machine = cluster_.machines.find(assignment.machine);
+    if (machine == nullptr) continue;
+    TaskAttempt* attempt = machine->find_attempt({job.spec->id, index}, assignment.attempt);
+    if (attempt == nullptr || attempt->stopping()) continue;
+    machine->request_stop(*attempt, grace);
+    if (job.spec->tasks > 1 && attempt->phase != TaskAttempt::Phase::Pending) {
+      commands.push_back(
+          {machine->id, {Command::Op::Stop, attempt->task, assignment.attempt, grace}});
+    }
+  }
+}
+
+std::optional<Seconds> GangController::checkpoint_interval(const Job& job,
+                                                           const Machine& machine) const {
+  if (job.spec->checkpoint.count() <= 0) return std::nullopt;
+  const auto now = context_.now();
+  double loss_rate = 0;
+  if (job.spec->gang()) {
+    for (const auto& [index, assignment] : job.assignments) {
+      const Machine* other = cluster_.machines.find(assignment.machine);
+      if (other != nullptr) loss_rate += cluster_.losses.rate_of(*other, now);
+    }
+  } else {
+    loss_rate = cluster_.losses.rate_of(machine, now);
+  }
+  return sched::checkpoint_interval(job.spec->save, loss_rate, sched::kLossBudget);
+}
+
+}  // namespace asterstair::leader
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -1,9 +1,8 @@
-// When plans are made, and what becomes of them: starts, demand for machines, and preemption.
+#include "leader/scheduling_loop.hpp"
 
 #include <algorithm>
 
 #include "base/log.hpp"
-#include "leader/term.hpp"
 #include "sched/constraints.hpp"
 #include "sched/planner.hpp"
 #include "sched/preemption.hpp"
@@ -11,170 +10,182 @@
 namespace asterstair::leader {
 namespace {
 
-// Plans follow one another no faster than this, and take up no more than a share of the processor
-// that the settings grant. What a step costs was measured with tests/load/profile.sh.
-constexpr Duration kPlanEvery = 60ms;
+using cluster::AttemptId;
+using cluster::Job;
+using cluster::JobTable;
+using cluster::Machine;
+using cluster::TaskAttempt;
+
+// Runs follow one another no faster than this, and take no more than this share of the processor
+// time that the settings grant. A step's cost was measured with tests/load/profile.sh.
+constexpr Duration kMinRunInterval = 60ms;
 constexpr Duration kStepCost = 40ns;
-constexpr double kPlanShare = 0.25;
-constexpr auto kPreemptEvery = 300ms;
+constexpr double kMaxProcessorShare = 0.25;
+constexpr auto kPreemptionInterval = 300ms;
+// Of an attempt number, for the counter; the rest is the fencing token.
+constexpr unsigned kAttemptCounterBits = 24;
 
 }  // namespace
 
-// At once, or as soon as plans may follow one another.
-void Term::plan_soon() {
-  const auto now = runtime_.now();
-  if (now >= next_plan_) {
-    plan();
-  } else if (!plan_due_) {
-    plan_due_ = true;
-    runtime_.after(next_plan_ - now, [self = weak_from_this()] {
-      const auto f = self.lock();
-      if (!f || !f->alive()) return;
-      f->plan_due_ = false;
-      if (f->plan_wanted_) f->plan();
-    });
+void SchedulingLoop::run_if_due() {
+  if (context_.now() >= next_run_) run();
+}
+
+void SchedulingLoop::run_if_requested() {
+  if (!trigger_.requested()) return;
+  const auto now = context_.now();
+  if (now >= next_run_) {
+    run();
+  } else if (!timer_set_) {
+    timer_set_ = true;
+    context_.runtime.after(next_run_ - now, context_.while_alive([this] {
+      timer_set_ = false;
+      if (trigger_.requested()) run();
+    }));
   }
 }
 
-// Machines a job failed on are left out for it while others may do: by job, refs of machines.
-std::vector<std::set<std::size_t>> Term::machines_to_avoid() const {
-  std::vector<std::set<std::size_t>> out(planned_jobs_.size());
-  for (std::size_t i = 0; i < planned_jobs_.size(); ++i) {
-    const auto& failed_on = planned_jobs_[i]->failed_on;
-    if (failed_on.empty() || failed_on.size() >= kBadJobMachines) continue;
-    for (std::size_t m = 0; m < planned_machines_.size(); ++m) {
-      if (failed_on.count(planned_machines_[m]->id) != 0) out[i].insert(m);
+void SchedulingLoop::run() {
+  if (!recovery_.view_is_fresh() || !context_.election.lease_valid()) return;
+  if (!context_.catalog.known()) return;
+  trigger_.clear();
+  const auto now = context_.now();
+  // A cluster with enough room has nothing to place on most runs: the machines are not looked at.
+  if (!snapshots_.any_placeable()) {
+    snapshots_.update_idle_times();
+    demand_.clear();
+    next_run_ = now + kMinRunInterval;
+    return;
+  }
+  auto input = snapshots_.build();
+  const auto avoided = avoided_machines(input);
+  for (std::size_t job = 0; job < input.jobs.size(); ++job) {
+    if (!avoided[job].empty()) input.snapshot.jobs[job].avoid = &avoided[job];
+  }
+  auto plan = sched::plan(input.snapshot, context_.runtime.rng());
+  std::map<std::string, std::uint64_t> gang_attempts;
+  for (const auto& placement : plan.placements) bind(input, placement, gang_attempts);
+  update_demand(input, plan);
+  if (!plan.unplaced.empty() && now >= next_preemption_) {
+    next_preemption_ = now + kPreemptionInterval;
+    preempt(input, plan);
+  }
+  const Seconds cost(kStepCost * static_cast<std::int64_t>(plan.steps));
+  const auto spacing = to_duration(cost / context_.settings.cpu_share / kMaxProcessorShare);
+  next_run_ = now + std::max(kMinRunInterval, spacing);
+}
+
+// A job avoids the machines on which it failed while others may do.
+SchedulingLoop::AvoidedMachines SchedulingLoop::avoided_machines(const SchedulingInput& input) {
+  AvoidedMachines avoided(input.jobs.size());
+  for (std::size_t job = 0; job < input.jobs.size(); ++job) {
+    const auto& failed_on = input.jobs[job]->failed_on;
+    if (failed_on.empty() || failed_on.size() >= WorkerHealth::kMaxMachinesAtFault) continue;
+    for (std::size_t machine = 0; machine < input.machines.size(); ++machine) {
+      if (failed_on.count(input.machines[machine]->id) != 0) avoided[job].insert(machine);
     }
   }
-  return out;
+  return avoided;
 }
 
-// Numbers from the token and a counter are never used twice, by any leader.
-std::uint64_t Term::next_attempt() {
-  constexpr unsigned kCounterBits = 24;
-  return (token_ << kCounterBits) | ++attempts_;
+// Numbers that are made of the token and a counter are never used twice, by any leader.
+std::uint64_t SchedulingLoop::next_attempt() {
+  return (context_.token << kAttemptCounterBits) | ++attempts_;
 }
 
-// Tasks of a gang share one attempt.
-void Term::bind(const sched::Placement& p, std::map<std::string, std::uint64_t>& gangs) {
-  Job& job = *planned_jobs_[p.job];
-  Machine& m = *planned_machines_[p.machine];
-  m.changed = true;
-  if (job.room_after == Seconds(0)) job.room_after = age_of(job);
-  for (std::uint32_t n = 0; n < p.tasks; ++n) {
-    std::uint64_t attempt = 0;
+// Tasks of a gang share one attempt number.
+void SchedulingLoop::bind(const SchedulingInput& input, const sched::Placement& placement,
+                          std::map<std::string, std::uint64_t>& gang_attempts) {
+  Job& job = *input.jobs[placement.job];
+  Machine& machine = *input.machines[placement.machine];
+  machine.usage_stale = true;
+  if (job.age_when_assigned == Seconds(0)) job.age_when_assigned = timing_.age(job);
+  for (std::uint32_t n = 0; n < placement.tasks; ++n) {
+    std::uint64_t number = 0;
     if (job.spec->gang()) {
-      auto& of_gang = gangs[job.spec->id];
-      if (of_gang == 0) of_gang = next_attempt();
-      attempt = of_gang;
+      auto& gang_attempt = gang_attempts[job.spec->id];
+      if (gang_attempt == 0) gang_attempt = next_attempt();
+      number = gang_attempt;
     } else {
-      attempt = next_attempt();
+      number = next_attempt();
     }
     const auto index = JobTable::take_waiting(job);
-    job.assignments[index] = {m.id, attempt};
-    TaskAttempt o;
-    o.task = {job.spec->id, index};
-    o.attempt = attempt;
-    o.job = job.spec;
-    o.assigned_at = runtime_.now();
-    m.attempts.emplace(AttemptId{attempt, o.task}, std::move(o));
+    job.assignments[index] = {machine.id, number};
+    TaskAttempt attempt;
+    attempt.task = {job.spec->id, index};
+    attempt.attempt = number;
+    attempt.job = job.spec;
+    machine.attempts.emplace(AttemptId{number, attempt.task}, std::move(attempt));
   }
 }
 
-// What found no room, within the teams' limits.
-void Term::update_demand(const sched::Snapshot& s, const sched::Plan& plan) {
-  const auto& aims = settings_.objectives;
-  const bool urgent = std::any_of(aims.begin(), aims.end(),
-                                  [](const Objective& o) { return o.kind == "guarantee"; });
+void SchedulingLoop::update_demand(const SchedulingInput& input, const sched::Plan& plan) {
+  const auto& objectives = context_.settings.objectives;
+  const bool urgent =
+      std::any_of(objectives.begin(), objectives.end(),
+                  [](const Objective& objective) { return objective.kind == "guarantee"; });
   demand_.clear();
   for (const auto& unplaced : plan.unplaced) {
-    const auto& j = s.jobs[unplaced.first];
-    const Job& job = *planned_jobs_[unplaced.first];
-    const auto tasks =
-        std::min(job.waiting.size(), sched::team_room(s.teams.at(j.job->team), *j.job));
+    const auto& planned = input.snapshot.jobs[unplaced.first];
+    const Job& job = *input.jobs[unplaced.first];
+    const auto& team = input.snapshot.teams.at(planned.job->team);
+    const auto tasks = std::min(job.waiting.size(), sched::team_room(team, *planned.job));
     if (tasks < 1) continue;
-    demand_.push_back({job.spec, tasks, j.remaining, j.slack, urgent && j.guaranteed});
-  }
-}
-
-void Term::plan() {
-  if (!recovered_ || !election_.lease_valid() || !view_is_fresh() || !catalog_.known()) return;
-  plan_wanted_ = false;
-  const auto now = runtime_.now();
-  // Most ticks of a fleet that has enough room find nothing to place: no look at the machines then.
-  if (!any_may_be_placed()) {
-    for (auto& [id, job] : jobs_.all()) note_idle(job);
-    demand_.clear();
-    next_plan_ = now + kPlanEvery;
-    return;
-  }
-  auto s = snapshot();
-  const auto avoid = machines_to_avoid();
-  for (std::size_t i = 0; i < s.jobs.size(); ++i) {
-    if (!avoid[i].empty()) s.jobs[i].avoid = &avoid[i];
-  }
-  auto plan = sched::plan(s, runtime_.rng());
-  std::map<std::string, std::uint64_t> gang_attempts;
-  for (const auto& p : plan.placements) bind(p, gang_attempts);
-  update_demand(s, plan);
-  if (!plan.unplaced.empty() && now >= next_preempt_) {
-    next_preempt_ = now + kPreemptEvery;
-    preempt(s, plan);
+    demand_.push_back(
+        {job.spec, tasks, planned.remaining, planned.slack, urgent && planned.guaranteed});
   }
-  const auto cost = kStepCost * static_cast<std::int64_t>(plan.steps);
-  next_plan_ =
-      now + std::max(kPlanEvery, to_duration(Seconds(cost) / settings_.cpu_share / kPlanShare));
 }
 
 // What a task would lose if it were stopped now.
-Seconds Term::work_lost_by_stop(const TaskAttempt& o) const {
-  if (o.running_since == TimePoint{}) return Seconds(0);
-  if (o.job->checkpoint.count() > 0) return o.job->save;
-  return Seconds(runtime_.now() - o.running_since);
+Seconds SchedulingLoop::work_lost_by_stop(const TaskAttempt& attempt) const {
+  if (!attempt.running_since) return Seconds(0);
+  if (attempt.job->checkpoint.count() > 0) return attempt.job->save;
+  return Seconds(context_.now() - *attempt.running_since);
 }
 
-// One whose start is under way is told to stop by the answer to the heartbeat that shows it: on a
-// machine with many short tasks there is always one such.
-std::vector<sched::PreemptionCandidate> Term::preemption_candidates(
-    const sched::Snapshot& s, const sched::Plan& plan, std::vector<CandidateRef>& refs) const {
-  // Worth a look only if some of the work may stop some of the rest.
+// An attempt whose start is under way is a candidate too. It is told to stop in the response to the
+// heartbeat that shows it: on a machine with many short tasks there is always one such.
+std::vector<sched::PreemptionCandidate> SchedulingLoop::preemption_candidates(
+    const SchedulingInput& input, const sched::Plan& plan, std::vector<CandidateRef>& refs) const {
+  // Work that may not preempt anything by its priority needs a guarantee.
   auto highest = Priority::Low;
-  bool guaranteed = false;
-  for (const auto& [i, left] : plan.unplaced) {
-    highest = std::max(highest, s.jobs[i].job->priority);
-    guaranteed = guaranteed || s.jobs[i].guaranteed;
+  bool any_guaranteed = false;
+  for (const auto& [job, tasks] : plan.unplaced) {
+    highest = std::max(highest, input.snapshot.jobs[job].job->priority);
+    any_guaranteed = any_guaranteed || input.snapshot.jobs[job].guaranteed;
   }
-  std::vector<sched::PreemptionCandidate> out;
-  for (std::size_t i = 0; i < s.machines.size(); ++i) {
-    Machine& m = *planned_machines_[s.machines[i].ref];
-    for (auto& [key, o] : m.attempts) {
-      if (!o.holds_resources() || !o.job || o.stop) continue;
-      if (!guaranteed && o.job->priority >= highest) continue;
-      if (o.job->gang() && o.job->tasks > 1) continue;
-      out.push_back({i, refs.size(), o.job.get(), work_lost_by_stop(o).count()});
-      refs.emplace_back(&m, &o);
+  std::vector<sched::PreemptionCandidate> candidates;
+  for (std::size_t index = 0; index < input.snapshot.machines.size(); ++index) {
+    Machine& machine = *input.machines[input.snapshot.machines[index].ref];
+    for (auto& [id, attempt] : machine.attempts) {
+      if (!attempt.holds_resources() || !attempt.job || attempt.stopping()) continue;
+      if (!any_guaranteed && attempt.job->priority >= highest) continue;
+      if (attempt.job->gang() && attempt.job->tasks > 1) continue;
+      candidates.push_back(
+          {index, refs.size(), attempt.job.get(), work_lost_by_stop(attempt).count()});
+      refs.emplace_back(&machine, &attempt);
     }
   }
-  return out;
+  return candidates;
 }
 
-void Term::preempt(sched::Snapshot& s, sched::Plan& plan) {
+void SchedulingLoop::preempt(SchedulingInput& input, sched::Plan& plan) {
   std::vector<CandidateRef> refs;
-  const auto candidates = preemption_candidates(s, plan, refs);
+  const auto candidates = preemption_candidates(input, plan, refs);
   plan.steps += candidates.size();
-  DirectStops direct;
-  for (const auto ref : sched::preempt(s, plan, candidates, runtime_.rng())) {
-    const auto& [m, o] = refs[ref];
-    log::debug("{}/{} on {} makes room", o->task.job, o->task.index, m->id);
-    const bool saves = o->job->checkpoint.count() > 0;
-    const Seconds grace = saves ? o->job->save + Seconds(settings_.gang_peer) : Seconds(0);
-    stop_attempt(*m, *o, grace);
-    // Told at once: whoever makes room is waited for.
-    if (o->phase == TaskAttempt::Phase::Observed) {
-      direct.emplace_back(m->id, Command{Command::Op::Stop, o->task, o->attempt, grace});
+  std::vector<DirectCommand> commands;
+  for (const auto ref : sched::preempt(input.snapshot, plan, candidates, context_.runtime.rng())) {
+    const auto& [machine, attempt] = refs[ref];
+    log::debug("{}/{} on {} is preempted", attempt->task.job, attempt->task.index, machine->id);
+    const Seconds grace = gangs_.grace_to_save(*attempt->job);
+    machine->request_stop(*attempt, grace);
+    // Told at once, since other work waits for the resources.
+    if (attempt->phase == TaskAttempt::Phase::Observed) {
+      commands.push_back(
+          {machine->id, {Command::Op::Stop, attempt->task, attempt->attempt, grace}});
     }
   }
-  send_direct(direct, true);
+  direct_commands_.send(commands, DirectCommandDispatcher::Response::Apply);
 }
 
 }  // namespace asterstair::leader
--- /dev/null
+++ b/src/leader/snapshot_builder.hpp
@@ -0,0 +1,70 @@
+#pragma once
+/// \file
+/// What the scheduler decides on: schedulable machines, waiting jobs, and what the teams use.
+
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "cluster/cluster_state.hpp"
+#include "leader/job_timing.hpp"
+#include "leader/live_jobs.hpp"
+#include "leader/term_context.hpp"
+#include "leader/term_recovery.hpp"
+#include "leader/worker_health.hpp"
+#include "sched/snapshot.hpp"
+
+namespace asterstair::leader {
+
+/// A snapshot, and the machines and jobs that its `ref` fields are indexes of. The pointers hold
+/// until the tables change.
+struct SchedulingInput {
+  sched::Snapshot snapshot;
+  std::vector<cluster::Machine*> machines;
+  std::vector<cluster::Job*> jobs;
+};
+
+/// Builds snapshots of the cluster for src/sched, and decides which jobs may be placed. Owned by
+/// Term.
+class SnapshotBuilder {
+ public:
+  SnapshotBuilder(const TermContext& context, cluster::ClusterState& cluster,
+                  const JobTiming& timing, const WorkerHealth& health, const TermRecovery& recovery,
+                  const LiveJobs& live_jobs)
+      : context_(context),
+        cluster_(cluster),
+        timing_(timing),
+        health_(health),
+        recovery_(recovery),
+        live_jobs_(live_jobs) {}
+
+  SchedulingInput build();
+  /// Whether any job may be placed now.
+  bool any_placeable() const;
+  /// Updates since when each job has had no assignment.
+  void update_idle_times();
+
+ private:
+  using TasksByJobAndZone = std::unordered_map<std::string, sched::TasksByZone>;
+
+  void add_machines(SchedulingInput& input, TasksByJobAndZone& in_zone,
+                    sched::Resources& unknown_use);
+  void add_machine(SchedulingInput& input, cluster::Machine& machine, const MachineType& type,
+                   double loss_rate) const;
+  void add_teams(sched::Snapshot& snapshot, const sched::Resources& unknown_use) const;
+  void reserve_accelerators(sched::Snapshot& snapshot) const;
+  void add_jobs(SchedulingInput& input, const TasksByJobAndZone& in_zone);
+  std::vector<cluster::Job*> jobs_by_arrival();
+  bool placeable(const cluster::Job& job) const;
+  sched::PlanJob plan_job(const cluster::Job& job, bool guaranteed) const;
+  void update_idle_time(cluster::Job& job) const;
+
+  const TermContext& context_;
+  cluster::ClusterState& cluster_;
+  const JobTiming& timing_;
+  const WorkerHealth& health_;
+  const TermRecovery& recovery_;
+  const LiveJobs& live_jobs_;
+};
+
+}  // namespace asterstair::leader
--- a/src/leader/term_recovery.cpp
+++ b/src/leader/term_recovery.cpp
@@ -1,240 +1,227 @@
-// How a term begins and follows the live jobs: what earlier leaders left in the state service, then
-// the watch on it, until every machine that may hold tasks has been heard from.
+#include "leader/term_recovery.hpp"
 
 #include <algorithm>
+#include <string_view>
+#include <vector>
 
 #include "base/log.hpp"
-#include "leader/term.hpp"
 #include "store/records.hpp"
 
 namespace asterstair::leader {
 namespace {
 
-// Jobs confirmed as cancelled that the watch may yet tell of as live; it is seconds late at most
-// while anything is started.
-constexpr std::size_t kMostCancelled = 20000;
+using cluster::Job;
+using cluster::JobTable;
+using cluster::Machine;
+
+constexpr auto kReloadDelay = 300ms;  // after a read that failed
+constexpr auto kWatchRetry = 200ms;   // after a watch that failed
+constexpr Duration kMaxWatchWait = 5s;
+// So many watches fit into the staleness bound: one may be lost.
+constexpr int kWatchesWithinBound = 3;
+
+std::string job_of_live_key(const std::string& key) {
+  return key.substr(std::string_view(store::kLivePrefix).size());
+}
 
 }  // namespace
 
-void Term::reload_later() {
-  runtime_.after(300ms, [self = weak_from_this()] {
-    if (const auto f = self.lock(); f && f->alive()) f->load();
-  });
+TermRecovery::TermRecovery(const TermContext& context, cluster::ClusterState& cluster,
+                           LiveJobs& live_jobs, MachineRegistry& registry,
+                           const ReturnedMachines& returned, FencedWriter& writer,
+                           SchedulingTrigger& trigger)
+    : context_(context),
+      cluster_(cluster),
+      live_jobs_(live_jobs),
+      registry_(registry),
+      returned_(returned),
+      writer_(writer),
+      trigger_(trigger),
+      max_view_staleness_(max_view_staleness(context.settings)),
+      watch_wait_(std::min<Duration>(kMaxWatchWait, max_view_staleness_ / kWatchesWithinBound)) {}
+
+bool TermRecovery::view_is_fresh() const {
+  return recovered_ && context_.now() - view_requested_at_ < max_view_staleness_;
 }
 
-void Term::load() {
-  const auto asked = runtime_.now();
-  store_.list(store::kLivePrefix, [self = weak_from_this(), asked](const store::ListResult& r) {
-    const auto f = self.lock();
-    if (!f || !f->alive()) return;
-    if (!r.ok) {
-      f->reload_later();
-      return;
-    }
-    std::set<std::string> live;
-    for (const auto& item : r.items) {
-      live.insert(item.key.substr(std::string_view(store::kLivePrefix).size()));
-      f->add_live(item);
-    }
-    // On a second load, jobs that ended while no watch was open are missing.
-    std::vector<std::string> ended;
-    for (const auto& [id, job] : f->jobs_.all()) {
-      if (live.count(id) == 0 && job.version <= r.revision) ended.push_back(id);
-    }
-    for (const auto& id : ended) f->job_ended(id);
-    f->live_revision_ = r.revision;
-    f->view_requested_at_ = asked;
-    if (f->recovered_) {
-      f->watch(r.revision, f->watch_wait_);
-    } else {
-      f->load_progress();
-    }
-  });
+void TermRecovery::reload_later() {
+  context_.runtime.after(kReloadDelay, context_.while_alive([this] { load_live_jobs(); }));
 }
 
-void Term::load_progress() {
-  store_.list(store::kProgressPrefix, [self = weak_from_this()](const store::ListResult& r) {
-    const auto f = self.lock();
-    if (!f || !f->alive()) return;
-    if (!r.ok) {
-      f->reload_later();
-      return;
-    }
-    for (const auto& item : r.items) {
-      const auto key = store::parse_progress_key(item.key);
-      if (!key) continue;
-      Job* job = f->jobs_.find(key->first);
-      if (job == nullptr) {
-        // Left by a cancellation with more chunks than a transaction holds, or of a job accepted
-        // after the list was read; only what has no live record is swept.
-        wire::Txn sweep;
-        sweep.conditions = {f->election_.guard(), {store::live_key(key->first), 0}};
-        sweep.changes = {{item.key, std::nullopt}};
-        f->store_.write(std::move(sweep), store::Urgency::Lazy, [](const store::WriteResult&) {});
-        continue;
-      }
-      f->versions_[item.key] = item.version;
-      try {
-        store::decode_chunk(*item.value, key->second, f->settings_.value_bytes, job->done);
-      } catch (const wire::DecodeError& e) {
-        log::error("progress of {} is malformed: {}", key->first, e.what());
-      }
-      job->durable = job->done;
-      job->begun = job->begun_before = true;
-    }
-    for (auto& [id, job] : f->jobs_.all()) {
-      job.done_count =
-          static_cast<std::uint32_t>(std::count(job.done.begin(), job.done.end(), true));
-      // Where tasks of jobs that an earlier leader began may be is known once settled.
-      if (job.begun_before) {
-        job.waiting.clear();
-      } else {
-        JobTable::rebuild_waiting(job);
-      }
-    }
-    f->load_registry();
-  });
+void TermRecovery::load_live_jobs() {
+  auto on_result = [this, requested_at = context_.now()](const store::ListResult& result) {
+    on_live_jobs(result, requested_at);
+  };
+  context_.store.list(store::kLivePrefix, context_.while_alive(std::move(on_result)));
 }
 
-void Term::load_registry() {
-  store_.list(store::kMachineRegistryPrefix, [self = weak_from_this()](const store::ListResult& r) {
-    const auto f = self.lock();
-    if (!f || !f->alive()) return;
-    if (!r.ok) {
-      f->reload_later();
-      return;
-    }
-    f->registry_.clear();
-    for (const auto& item : r.items) f->add_registry_chunk(item);
-    f->registry_stale_ = true;
-    f->registry_loaded_ = true;
-    f->finish_loading();
-  });
+void TermRecovery::on_live_jobs(const store::ListResult& result, TimePoint requested_at) {
+  if (!result.ok) {
+    reload_later();
+    return;
+  }
+  std::set<std::string> live;
+  for (const auto& item : result.items) {
+    live.insert(job_of_live_key(item.key));
+    live_jobs_.add(item);
+  }
+  // When the list is read again, jobs that ended while no watch was open are missing.
+  std::vector<std::string> ended;
+  for (const auto& [id, job] : cluster_.jobs.all()) {
+    if (live.count(id) == 0 && job.version <= result.revision) ended.push_back(id);
+  }
+  for (const auto& id : ended) live_jobs_.end(id);
+  live_revision_ = result.revision;
+  view_requested_at_ = requested_at;
+  if (recovered_) {
+    watch(result.revision, watch_wait_);
+  } else {
+    load_progress();
+  }
+}
+
+void TermRecovery::load_progress() {
+  auto on_result = [this](const store::ListResult& result) { on_progress(result); };
+  context_.store.list(store::kProgressPrefix, context_.while_alive(std::move(on_result)));
+}
+
+void TermRecovery::on_progress(const store::ListResult& result) {
+  if (!result.ok) {
+    reload_later();
+    return;
+  }
+  for (const auto& item : result.items) load_job_progress(item);
+  rebuild_waiting_tasks();
+  load_registry();
 }
 
-void Term::add_registry_chunk(const wire::Item& item) {
-  versions_[item.key] = item.version;
-  std::set<std::string> chunk;
+void TermRecovery::load_job_progress(const wire::Item& item) {
+  const auto key = store::parse_progress_key(item.key);
+  if (!key) return;
+  const auto& [id, chunk] = *key;
+  Job* job = cluster_.jobs.find(id);
+  if (job == nullptr) {
+    sweep_progress(item.key, id);
+    return;
+  }
+  writer_.set_version(item.key, item.version);
   try {
-    for (auto& m : store::decode_machine_registry(*item.value)) chunk.insert(std::move(m));
-  } catch (const wire::DecodeError& e) {
-    log::error("roster is malformed: {}", e.what());
+    store::decode_chunk(*item.value, chunk, context_.settings.value_bytes, job->done);
+  } catch (const wire::DecodeError& error) {
+    log::error("progress of {} is malformed: {}", id, error.what());
+  }
+  job->durable = job->done;
+  job->start_record = Job::StartRecord::Durable;
+  job->started_by_previous_leader = true;
+}
+
+// The record was left by a cancellation with more chunks than a transaction holds, or its job was
+// accepted after the list was read: only a record without a live job is removed.
+void TermRecovery::sweep_progress(const std::string& key, const std::string& job) {
+  wire::Txn sweep;
+  sweep.conditions = {context_.election.guard(), {store::live_key(job), 0}};
+  sweep.changes = {{key, std::nullopt}};
+  context_.store.write(std::move(sweep), store::Urgency::Lazy, [](const store::WriteResult&) {});
+}
+
+// Where the tasks of jobs that an earlier leader started may be is known only once reconciled.
+void TermRecovery::rebuild_waiting_tasks() {
+  for (auto& [id, job] : cluster_.jobs.all()) {
+    const auto done = std::count(job.done.begin(), job.done.end(), true);
+    job.done_count = static_cast<std::uint32_t>(done);
+    if (job.started_by_previous_leader) {
+      job.waiting.clear();
+    } else {
+      JobTable::rebuild_waiting(job);
+    }
   }
-  for (const auto& id : chunk) {
-    // The operation log, which may have been read before, tells that it has been returned.
-    if (gone_.count(id) != 0) continue;
-    Machine& m = machines_.at(id);
-    m.id = id;
-    m.registered = true;
-    if (returning_.count(id) != 0) m.service = Machine::Service::Returning;
-    if (!m.reconciled && !m.lease_expired) pending_reconciliation_.insert(id);
-    // No earlier leader answers after that; its answers renewed no later.
-    if (m.last_answered == TimePoint{}) m.last_answered = previous_leaders_expiry_;
+}
+
+void TermRecovery::load_registry() {
+  auto on_result = [this](const store::ListResult& result) { on_registry(result); };
+  context_.store.list(store::kMachineRegistryPrefix, context_.while_alive(std::move(on_result)));
+}
+
+void TermRecovery::on_registry(const store::ListResult& result) {
+  if (!result.ok) {
+    reload_later();
+    return;
+  }
+  registry_.begin_load();
+  for (const auto& item : result.items) {
+    for (const auto& name : registry_.load_chunk(item)) adopt_registered(name);
+  }
+  registry_loaded_ = true;
+  finish_recovery();
+}
+
+void TermRecovery::adopt_registered(const std::string& name) {
+  // The operation log, which may have been read before, tells that it has been returned.
+  if (returned_.gone(name)) return;
+  Machine& machine = cluster_.machines.at(name);
+  machine.id = name;
+  machine.registered = true;
+  if (returned_.returning(name)) machine.service = Machine::Service::Returning;
+  if (!machine.reconciled && !machine.lease_expired) pending_.insert(name);
+  // No earlier leader answers after that; its responses renewed the lease no later.
+  if (machine.last_answered == TimePoint{}) {
+    machine.last_answered = context_.previous_leaders_expiry;
   }
-  registry_.push_back(std::move(chunk));
 }
 
-void Term::finish_loading() {
+void TermRecovery::on_open_returns_known() {
+  open_returns_known_ = true;
+  finish_recovery();
+}
+
+void TermRecovery::finish_recovery() {
   if (recovered_ || !registry_loaded_ || !open_returns_known_) return;
   recovered_ = true;
-  log::info("term {}: {} live jobs, {} machines to hear from", token_, jobs_.all().size(),
-            machines_.all().size());
+  log::info("term {}: recovered {} live jobs, {} machines to reconcile", context_.token,
+            cluster_.jobs.all().size(), cluster_.machines.all().size());
   watch(live_revision_, watch_wait_);
   check_reconciled();
 }
 
-void Term::watch(std::uint64_t after, Duration wait) {
-  // The view is as old as the question: an answer may have been held up on its way.
-  const auto asked = runtime_.now();
-  store_.watch(store::kLivePrefix, after, wait,
-               [self = weak_from_this(), after, asked](const store::WatchResult& r) {
-                 const auto f = self.lock();
-                 if (!f || !f->alive()) return;
-                 if (r.outcome == store::WatchResult::Outcome::TooOld) {
-                   f->load();
-                   return;
-                 }
-                 if (r.outcome == store::WatchResult::Outcome::Unavailable) {
-                   // Answered at once when it is: what was missed meanwhile is wanted now.
-                   f->runtime_.after(200ms, [self, after] {
-                     if (const auto g = self.lock(); g && g->alive()) g->watch(after, 0s);
-                   });
-                   return;
-                 }
-                 f->view_requested_at_ = std::max(f->view_requested_at_, asked);
-                 for (const auto& item : r.events.items) {
-                   if (item.value) {
-                     f->add_live(item);
-                   } else {
-                     f->job_ended(item.key.substr(std::string_view(store::kLivePrefix).size()));
-                   }
-                 }
-                 f->watch(std::max(after, r.events.revision), f->watch_wait_);
-               });
-}
-
-void Term::add_live(const wire::Item& item) {
-  try {
-    auto record = store::decode_live(*item.value);
-    if (cancelled_.count(record.job.id) != 0) return;
-    const bool known = jobs_.find(record.job.id) != nullptr;
-    Job& job = jobs_.add(std::move(record.job), item.version, record.accepted);
-    if (!known) {
-      log::debug("job {} of {}: {} tasks, age {:.1f} s", job.spec->id, job.spec->job_class,
-                 job.spec->tasks, age_of(job).count());
-      plan_wanted_ = true;
-      // Of jobs found when a term begins the arrival is not known; they count as new.
-      arrivals_.push_back({runtime_.now(), job.spec, slack_of(job, remaining_of(job))});
-    }
-  } catch (const wire::DecodeError& e) {
-    log::error("live record {} is malformed: {}", item.key, e.what());
+void TermRecovery::check_reconciled() {
+  if (reconciled_ || !recovered_ || !pending_.empty()) return;
+  reconciled_ = true;
+  for (auto& [id, job] : cluster_.jobs.all()) {
+    if (job.started_by_previous_leader) JobTable::rebuild_waiting(job);
   }
+  trigger_.request();
+  log::info("term {}: reconciled after {:.1f} s", context_.token,
+            seconds(context_.now() - context_.elected_at));
 }
 
-void Term::job_ended(const std::string& id) {
-  const Job* job = jobs_.find(id);
-  if (job == nullptr) return;
-  // Whatever of it is left serves nobody: stopped at once, and cleared when it has ended. Told
-  // directly too: an image may arrive before the next heartbeat, a machine may be out of hearing or
-  // hang, and then carries the command out as it goes on.
-  DirectStops direct;
-  for (const auto& [index, assignment] : job->assignments) {
-    Machine* m = machines_.find(assignment.machine);
-    if (m == nullptr) continue;
-    TaskAttempt* o = m->find_attempt({id, index}, assignment.attempt);
-    if (o == nullptr) continue;
-    stop_attempt(*m, *o, Seconds(0));
-    if (o->phase == TaskAttempt::Phase::Observed || o->phase == TaskAttempt::Phase::Dispatched) {
-      direct.emplace_back(m->id, Command{Command::Op::Stop, o->task, assignment.attempt});
-    }
-  }
-  send_direct(direct);
-  log::info("job {} of {} ended after {:.1f} s, {} of {} tasks done", id, job->spec->job_class,
-            age_of(*job).count(), job->done_count, job->spec->tasks);
-  const auto chunks = store::chunk_count(job->spec->tasks, settings_.value_bytes);
-  for (std::size_t c = 0; c < chunks; ++c) versions_.erase(store::progress_key(id, c));
-  jobs_.erase(id);
-  plan_wanted_ = true;
-}
-
-void Term::cancelled(const std::string& id) {
-  if (!cancelled_.insert(id).second) return;
-  cancelled_order_.push_back(id);
-  if (cancelled_order_.size() > kMostCancelled) {
-    cancelled_.erase(cancelled_order_.front());
-    cancelled_order_.pop_front();
-  }
-  job_ended(id);
+// A view is as old as its request: the answer may have been held up on its way.
+void TermRecovery::watch(std::uint64_t after, Duration wait) {
+  auto on_result = [this, after, requested_at = context_.now()](const store::WatchResult& result) {
+    on_watch(result, after, requested_at);
+  };
+  context_.store.watch(store::kLivePrefix, after, wait, context_.while_alive(std::move(on_result)));
 }
 
-void Term::check_reconciled() {
-  if (reconciled_ || !recovered_ || !pending_reconciliation_.empty()) return;
-  reconciled_ = true;
-  for (auto& [id, job] : jobs_.all()) {
-    if (job.begun_before) JobTable::rebuild_waiting(job);
+void TermRecovery::on_watch(const store::WatchResult& result, std::uint64_t after,
+                            TimePoint requested_at) {
+  if (result.outcome == store::WatchResult::Outcome::TooOld) {
+    load_live_jobs();
+    return;
+  }
+  if (result.outcome == store::WatchResult::Outcome::Unavailable) {
+    // The next watch does not wait: what was missed meanwhile is needed at once.
+    context_.runtime.after(kWatchRetry, context_.while_alive([this, after] { watch(after, 0s); }));
+    return;
+  }
+  view_requested_at_ = std::max(view_requested_at_, requested_at);
+  for (const auto& item : result.events.items) {
+    if (item.value) {
+      live_jobs_.add(item);
+    } else {
+      live_jobs_.end(job_of_live_key(item.key));
+    }
   }
-  plan_wanted_ = true;
-  log::info("term {}: settled after {:.1f} s", token_, seconds(runtime_.now() - elected_at_));
+  watch(std::max(after, result.events.revision), watch_wait_);
 }
 
 }  // namespace asterstair::leader
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -30,6 +30,13 @@
   return {status, wire::encode_error(message)};
 }
 
+HttpResponse to_http(const leader::HeartbeatResponse& response) {
+  if (response.outcome == leader::HeartbeatResponse::Outcome::AnswersLost) {
+    return failure(503, "answers are lost");
+  }
+  return {200, wire::encode_commands(response.token, response.commands)};
+}
+
 }  // namespace
 
 Node::Node(Runtime& runtime, Settings settings, const Features& features)
@@ -292,7 +299,7 @@
     return;
   }
   term_->suspend_launches(may_miss_cancellations());
-  respond(term_->on_heartbeat(r));
+  respond(to_http(term_->on_heartbeat(r)));
 }
 
 void Node::handle(HttpRequest request, const std::function<void(HttpResponse)>& respond) {
