--- /dev/null
+++ b/src/base/http_status.hpp
@@ -0,0 +1,20 @@
+#pragma once
+/// @file
+/// HTTP status codes that the program gives a meaning to. Every package that sends or answers
+/// requests may use them.
+
+namespace asterstair::http_status {
+
+/// Not an HTTP code: the runtime reports it when no answer came. The request may have been carried
+/// out.
+inline constexpr int kNoAnswer = 0;
+inline constexpr int kOk = 200;
+inline constexpr int kBadRequest = 400;
+inline constexpr int kNotFound = 404;
+inline constexpr int kConflict = 409;
+inline constexpr int kGone = 410;
+/// The service works, but the sender exceeds its rate limit.
+inline constexpr int kTooManyRequests = 429;
+inline constexpr int kServiceUnavailable = 503;
+
+}  // namespace asterstair::http_status
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -29,7 +29,7 @@
 
 bool Cloud::may_call() { return calls_.wait_for(1, runtime_.now()) <= Duration::zero(); }
 
-void Cloud::count_call() { calls_.force(1, runtime_.now()); }
+void Cloud::count_call() { calls_.take_unconditionally(1, runtime_.now()); }
 
 void Cloud::call(HttpRequest request, HttpCallback done) {
   count_call();
@@ -39,7 +39,7 @@
 void Cloud::send(HttpRequest request, HttpCallback done) {
   runtime_.http(address_, std::move(request), kTimeout,
                 [this, done = std::move(done)](HttpResponse r) {
-                  if (r.status == 429) calls_.refused(runtime_.now(), 500ms);
+                  if (r.status == 429) calls_.on_rate_limited(runtime_.now(), 500ms);
                   done(std::move(r));
                 });
 }
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -6,7 +6,7 @@
 
 #include "base/runtime.hpp"
 #include "base/settings.hpp"
-#include "store/budget.hpp"
+#include "store/token_bucket.hpp"
 #include "wire/cloud.hpp"
 
 namespace asterstair::cloud {
@@ -38,7 +38,7 @@
 
   Runtime& runtime_;
   std::string address_;
-  store::Budget calls_;
+  store::TokenBucket calls_;
 };
 
 }  // namespace asterstair::cloud
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -199,8 +199,8 @@
       respond(unavailable());
       return;
     }
-    auto txn = store::end_job(found.live.job, found.version, true, settings_.value_bytes,
-                              settings_.txn_ops);
+    auto txn = store::make_end_job_txn(found.live.job, found.version, true, settings_.value_bytes,
+                                       settings_.txn_ops);
     store_.write(std::move(txn), store::Urgency::User,
                  [this, id, tries, respond](const store::WriteResult& r) {
                    if (r.outcome == store::WriteOutcome::Committed) {
--- a/src/leader/durable.cpp
+++ b/src/leader/durable.cpp
@@ -137,7 +137,7 @@
   wire::Txn txn;
   txn.conditions = {{store::live_key(job.spec->id), job.version}};
   txn.changes = {{store::progress_key(job.spec->id, 0),
-                  store::encode_chunk(job.done, 0, settings_.value_bytes)}};
+                  store::encode_progress_chunk(job.done, 0, settings_.value_bytes)}};
   write_own(std::move(txn), store::Urgency::Start, [this, id = job.spec->id](bool committed) {
     Job* j = jobs_.find(id);
     if (j == nullptr) return;
@@ -156,7 +156,7 @@
   for (const auto c : job.dirty) {
     if (txn.changes.size() >= settings_.txn_ops) break;
     txn.changes.push_back({store::progress_key(job.spec->id, c),
-                           store::encode_chunk(job.done, c, settings_.value_bytes)});
+                           store::encode_progress_chunk(job.done, c, settings_.value_bytes)});
     chunks.insert(c);
   }
   for (const auto c : chunks) job.dirty.erase(c);
@@ -170,7 +170,7 @@
                 j->dirty.insert(chunks.begin(), chunks.end());
                 return;
               }
-              const auto per = store::tasks_per_chunk(settings_.value_bytes);
+              const auto per = store::tasks_per_progress_chunk(settings_.value_bytes);
               for (const auto c : chunks) {
                 const auto end = std::min<std::size_t>((c + 1) * per, written->size());
                 for (std::size_t i = c * per; i < end; ++i) {
@@ -183,8 +183,8 @@
 void Term::finish(Job& job) {
   if (job.ending || !election_.lease_valid()) return;
   job.ending = true;
-  auto txn =
-      store::end_job(*job.spec, job.version, false, settings_.value_bytes, settings_.txn_ops);
+  auto txn = store::make_end_job_txn(*job.spec, job.version, false, settings_.value_bytes,
+                                     settings_.txn_ops);
   txn.conditions.push_back(election_.guard());
   store_.write(std::move(txn), store::Urgency::Final,
                [self = weak_from_this(), id = job.spec->id](const store::WriteResult& r) {
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -230,7 +230,7 @@
   if (o.cause == ExitCause::Done) {
     m.failures = 0;
     m.failed_jobs.clear();
-    const auto per = store::tasks_per_chunk(settings_.value_bytes);
+    const auto per = store::tasks_per_progress_chunk(settings_.value_bytes);
     // A gang completes together: when one task is done, every task is.
     const auto first = job->spec->gang() ? 0 : o.task.index;
     const auto last = job->spec->gang() ? job->spec->tasks - 1 : o.task.index;
--- a/src/leader/term_recovery.cpp
+++ b/src/leader/term_recovery.cpp
@@ -75,7 +75,7 @@
       }
       f->versions_[item.key] = item.version;
       try {
-        store::decode_chunk(*item.value, key->second, f->settings_.value_bytes, job->done);
+        store::decode_progress_chunk(*item.value, key->second, f->settings_.value_bytes, job->done);
       } catch (const wire::DecodeError& e) {
         log::error("progress of {} is malformed: {}", key->first, e.what());
       }
@@ -211,7 +211,7 @@
   send_direct(direct);
   log::info("job {} of {} ended after {:.1f} s, {} of {} tasks done", id, job->spec->job_class,
             age_of(*job).count(), job->done_count, job->spec->tasks);
-  const auto chunks = store::chunk_count(job->spec->tasks, settings_.value_bytes);
+  const auto chunks = store::progress_chunk_count(job->spec->tasks, settings_.value_bytes);
   for (std::size_t c = 0; c < chunks; ++c) versions_.erase(store::progress_key(id, c));
   jobs_.erase(id);
   plan_wanted_ = true;
--- a/src/provisioning/records.cpp
+++ b/src/provisioning/records.cpp
@@ -76,8 +76,9 @@
 std::string operation_key(const std::string& name) { return kOperationPrefix + name; }
 
 Json encode_operation(const Operation& o) {
-  Json out = {{"form", store::kRecordForm}, {"kind", word(o.kind)}, {"state", word(o.state)},
-              {"token", o.token},           {"holder", o.holder},   {"begun", to_ms(o.begun)}};
+  Json out = {{"form", store::kRecordFormat}, {"kind", word(o.kind)},
+              {"state", word(o.state)},       {"token", o.token},
+              {"holder", o.holder},           {"begun", to_ms(o.begun)}};
   if (o.kind == OperationKind::Rent) {
     out["type"] = o.rental.type;
     out["zone"] = o.rental.zone;
@@ -94,7 +95,7 @@
 
 Operation decode_operation(const std::string& key, const Json& value) {
   if (!value.is_object()) throw DecodeError("an object is needed");
-  store::require_known_form(value);
+  store::require_known_format(value);
   const std::string_view prefix = kOperationPrefix;
   if (!key.starts_with(prefix) || key.size() == prefix.size()) throw DecodeError("no name");
   Operation out;
@@ -123,12 +124,13 @@
 }
 
 Json encode_control(const Control& c) {
-  return {{"form", store::kRecordForm}, {"paused", c.paused}, {"hand over from", c.hand_over_from}};
+  return {
+      {"form", store::kRecordFormat}, {"paused", c.paused}, {"hand over from", c.hand_over_from}};
 }
 
 Control decode_control(const Json& value) {
   if (!value.is_object()) throw DecodeError("an object is needed");
-  store::require_known_form(value);
+  store::require_known_format(value);
   Control out;
   out.paused = wire::flag(value, "paused");
   out.hand_over_from = wire::integer(value, "hand over from");
@@ -147,12 +149,12 @@
   for (const auto& o : orphans) {
     list.push_back({{"machine", o.machine}, {"state", word(o.state)}, {"since", to_ms(o.since)}});
   }
-  return {{"form", store::kRecordForm}, {"orphans", std::move(list)}};
+  return {{"form", store::kRecordFormat}, {"orphans", std::move(list)}};
 }
 
 std::vector<OrphanedInstance> decode_orphans(const Json& value) {
   if (!value.is_object()) throw DecodeError("an object is needed");
-  store::require_known_form(value);
+  store::require_known_format(value);
   std::vector<OrphanedInstance> out;
   for (const auto& item : wire::list(value, "orphans")) {
     const auto parse = [](std::string_view text) {
--- a/src/store/read_queue.cpp
+++ b/src/store/read_queue.cpp
@@ -3,89 +3,79 @@
 #include <algorithm>
 #include <memory>
 
-#include "store/lists.hpp"
+#include "base/http_status.hpp"
+#include "store/paged_list.hpp"
 #include "store/records.hpp"
+#include "store/responses.hpp"
 
 namespace asterstair::store {
 namespace {
 
-constexpr auto kTimeout = 900ms;
-constexpr std::size_t kMostInFlight = 16;
-constexpr int kMostTries = 3;
-// So many reads of live jobs waiting are answered by one list of these, now and then.
-constexpr std::size_t kBatchAbove = 24;
-constexpr auto kBatchEvery = 400ms, kBatchTimeout = 800ms;
-constexpr std::size_t kLargestPage = 1000;
+// Timeout of one request. A user waits 2 s for an answer, so that a read can be tried twice.
+constexpr auto kRequestTimeout = 900ms;
+constexpr std::size_t kMaxInFlight = 16;
+constexpr int kMaxTries = 3;
 
-bool is_live_key(const std::string& key) { return key.starts_with(kLivePrefix); }
+// When so many reads of live job records wait, one list answers them.
+constexpr std::size_t kLiveListThreshold = 24;
+// A list of all live records is large: at most one is sent in this time.
+constexpr auto kLiveListInterval = 400ms;
+constexpr auto kLiveListPageTimeout = 800ms;
+constexpr std::size_t kLiveListPageSize = 1000;
+constexpr int kLiveListRateLimitRetries = 1;
 
 }  // namespace
 
-ReadResult read_result(const HttpResponse& r) {
-  ReadResult out;
-  if (r.status == 200) {
-    if (auto item = decode_or_log("get", [&] { return wire::decode_item(r.body); })) {
-      out.outcome = ReadOutcome::Found;
-      out.item = std::move(*item);
-    }
-  } else if (r.status == 404) {
-    if (auto revision = decode_or_log("get", [&] { return wire::decode_revision(r.body); })) {
-      out.outcome = ReadOutcome::Missing;
-      out.revision = *revision;
-    }
-  }
-  return out;
-}
-
-void ReadQueue::Read::answer(const ReadResult& result) const {
-  for (const auto& callback : done) callback(result);
+void ReadQueue::Read::complete(const ReadResult& result) const {
+  for (const auto& callback : callbacks) callback(result);
 }
 
 void ReadQueue::get(const std::string& key, std::function<void(ReadResult)> done,
                     Duration timeout) {
-  // A read not yet sent serves everybody who asks meanwhile.
+  // A read that has not been sent serves all who ask for its key meanwhile.
   const auto shared = by_key_.find(key);
   if (shared != by_key_.end()) {
-    shared->second->done.push_back(std::move(done));
+    shared->second->callbacks.push_back(std::move(done));
     return;
   }
-  if (reads_.size() >= most_waiting_) {
+  if (waiting_.size() >= max_waiting_) {
     done({});
     return;
   }
-  reads_.push_back({key, link_.now() + timeout, 0, {}});
-  reads_.back().done.push_back(std::move(done));
-  by_key_[key] = &reads_.back();
-  pump();
+  waiting_.push_back({key, transport_.now() + timeout, 0, {}});
+  waiting_.back().callbacks.push_back(std::move(done));
+  by_key_[key] = &waiting_.back();
+  send_ready();
 }
 
-ReadQueue::Read ReadQueue::take_first() {
-  Read read = std::move(reads_.front());
+ReadQueue::Read ReadQueue::pop_front() {
+  Read read = std::move(waiting_.front());
   by_key_.erase(read.key);
-  reads_.pop_front();
+  waiting_.pop_front();
   return read;
 }
 
-void ReadQueue::pump() {
-  const auto now = link_.now();
-  if (reads_.size() >= kBatchAbove) read_live_batched();
-  while (!reads_.empty()) {
-    const auto left = reads_.front().give_up - now;
-    if (left <= Duration::zero()) {
-      take_first().answer({});
+// Sends what the limits allow, in order, and sets the timer for the rest.
+void ReadQueue::send_ready() {
+  const auto now = transport_.now();
+  if (waiting_.size() >= kLiveListThreshold) list_live_records();
+  while (!waiting_.empty()) {
+    const auto time_left = waiting_.front().deadline - now;
+    if (time_left <= Duration::zero()) {
+      pop_front().complete({});
       continue;
     }
-    if (in_flight_ >= kMostInFlight) {
-      wake_.set(left);
+    if (in_flight_ >= kMaxInFlight) {
+      wake_.set(time_left);
       return;
     }
-    const auto wait = link_.requests.wait_for(1, now);
+    const auto wait = transport_.request_limit().wait_for(1, now);
     if (wait > Duration::zero()) {
-      wake_.set(std::min<Duration>(wait, left));
+      wake_.set(std::min<Duration>(wait, time_left));
       return;
     }
-    link_.requests.take(1, now);
-    send(take_first());
+    transport_.request_limit().take(1, now);
+    send(pop_front());
   }
 }
 
@@ -93,78 +83,87 @@
   ++in_flight_;
   ++read.tries;
   auto shared = std::make_shared<Read>(std::move(read));
-  const auto timeout = std::min<Duration>(kTimeout, shared->give_up - link_.now());
-  link_.send(wire::get_request(shared->key), timeout,
-             [this, shared](const HttpResponse& r) { answered(*shared, r); });
+  const auto timeout = std::min<Duration>(kRequestTimeout, shared->deadline - transport_.now());
+  transport_.send(wire::get_request(shared->key), timeout,
+                  [this, shared](const HttpResponse& response) { on_response(*shared, response); });
 }
 
-void ReadQueue::answered(Read& read, const HttpResponse& r) {
+void ReadQueue::on_response(Read& read, const HttpResponse& response) {
   --in_flight_;
-  const auto now = link_.now();
-  if (r.status == 429) link_.requests.refused(now, kRefusedPause);
-  const bool again = r.status == 429 || r.status == 0;
-  if (again && now < read.give_up && read.tries < kMostTries) {
-    // Later reads of the key may be waiting already.
-    reads_.push_front(std::move(read));
-    by_key_.emplace(reads_.front().key, &reads_.front());
+  const auto now = transport_.now();
+  const bool rate_limited = response.status == http_status::kTooManyRequests;
+  if (rate_limited) transport_.request_limit().on_rate_limited(now, kRateLimitedPause);
+  const bool retryable = rate_limited || response.status == http_status::kNoAnswer;
+  if (retryable && now < read.deadline && read.tries < kMaxTries) {
+    // A later read of the same key may be waiting already: then it stays the shared one.
+    waiting_.push_front(std::move(read));
+    by_key_.emplace(waiting_.front().key, &waiting_.front());
   } else {
-    read.answer(read_result(r));
+    read.complete(decode_read_response(response));
   }
-  pump();
+  send_ready();
 }
 
-void ReadQueue::index() {
+void ReadQueue::rebuild_index() {
   by_key_.clear();
-  for (auto& read : reads_) by_key_.emplace(read.key, &read);
+  for (auto& read : waiting_) by_key_.emplace(read.key, &read);
+}
+
+bool ReadQueue::waits_for_live_record(const Read& read, TimePoint now) {
+  return read.deadline > now && read.key.starts_with(kLivePrefix);
 }
 
-std::size_t ReadQueue::waiting_for_live(TimePoint now) const {
-  return static_cast<std::size_t>(std::count_if(reads_.begin(), reads_.end(), [&](const Read& r) {
-    return r.give_up > now && is_live_key(r.key);
-  }));
+bool ReadQueue::enough_for_live_list(TimePoint now) const {
+  const auto count = std::count_if(waiting_.begin(), waiting_.end(), [now](const Read& read) {
+    return waits_for_live_record(read, now);
+  });
+  return static_cast<std::size_t>(count) >= kLiveListThreshold;
 }
 
-std::vector<ReadQueue::Read> ReadQueue::take_waiting_for_live(TimePoint now) {
+std::vector<ReadQueue::Read> ReadQueue::pop_reads_of_live_records(TimePoint now) {
   std::deque<Read> others;
-  std::vector<Read> out;
-  for (auto& read : reads_) {
-    if (read.give_up > now && is_live_key(read.key)) {
-      out.push_back(std::move(read));
+  std::vector<Read> popped;
+  for (auto& read : waiting_) {
+    if (waits_for_live_record(read, now)) {
+      popped.push_back(std::move(read));
     } else {
       others.push_back(std::move(read));
     }
   }
-  reads_ = std::move(others);
-  index();
-  return out;
+  waiting_ = std::move(others);
+  rebuild_index();
+  return popped;
+}
+
+// When users poll their jobs far more often than usual, one read a poll uses up the rate limit.
+// A list that is sent after the polls came shows every live record as of then or later, so that no
+// poll gets an older answer than its own read would give. A record that the list lacks is missing.
+void ReadQueue::list_live_records() {
+  const auto now = transport_.now();
+  if (live_list_in_flight_ || now < next_live_list_ || !enough_for_live_list(now)) return;
+  live_list_in_flight_ = true;
+  next_live_list_ = now + kLiveListInterval;
+  auto reads = std::make_shared<std::vector<Read>>(pop_reads_of_live_records(now));
+  list_prefix(transport_,
+              {kLivePrefix, kLiveListPageSize, kLiveListPageTimeout, kLiveListRateLimitRetries},
+              [this, reads](const ListResult& list) { on_live_list(*reads, list); });
 }
 
-// When users ask about their jobs many times as often, reading them one by one uses up the limits.
-// A list sent after the questions came shows every live record as it is then or later, so nobody is
-// given an older answer than by a read of his own. What it lacks is missing.
-void ReadQueue::read_live_batched() {
-  const auto now = link_.now();
-  if (batch_in_flight_ || now < next_batch_ || waiting_for_live(now) < kBatchAbove) return;
-  batch_in_flight_ = true;
-  next_batch_ = now + kBatchEvery;
-  auto batch = std::make_shared<std::vector<Read>>(take_waiting_for_live(now));
-  list_all(link_, {kLivePrefix, kLargestPage, kBatchTimeout, 1},
-           [this, batch](const ListResult& r) {
-             batch_in_flight_ = false;
-             std::map<std::string_view, const wire::Item*> found;
-             for (const auto& item : r.items) found.emplace(item.key, &item);
-             for (const auto& read : *batch) {
-               const auto it = found.find(read.key);
-               if (!r.ok) {
-                 read.answer({});
-               } else if (it == found.end()) {
-                 read.answer({ReadOutcome::Missing, {}, r.revision});
-               } else {
-                 read.answer({ReadOutcome::Found, *it->second, 0});
-               }
-             }
-             pump();
-           });
+void ReadQueue::on_live_list(const std::vector<Read>& reads, const ListResult& list) {
+  live_list_in_flight_ = false;
+  std::map<std::string_view, const wire::Item*> items;
+  for (const auto& item : list.items) items.emplace(item.key, &item);
+  for (const auto& read : reads) {
+    const auto found = items.find(read.key);
+    if (!list.ok) {
+      read.complete({});
+    } else if (found == items.end()) {
+      read.complete({ReadOutcome::Missing, {}, list.revision});
+    } else {
+      read.complete({ReadOutcome::Found, *found->second, 0});
+    }
+  }
+  send_ready();
 }
 
 }  // namespace asterstair::store
--- a/src/store/read_queue.hpp
+++ b/src/store/read_queue.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Reads of single keys, within the request limit. Reads of the same key that have not been sent are
-// shared, and many of live jobs are answered by one list.
+/// @file
+/// Queue of reads of single keys.
 
 #include <deque>
 #include <functional>
@@ -8,48 +8,59 @@
 #include <string>
 #include <vector>
 
-#include "store/link.hpp"
 #include "store/results.hpp"
+#include "store/transport.hpp"
 #include "store/wake_timer.hpp"
 
 namespace asterstair::store {
 
+/// Reads single keys within the rate limit on requests. Store owns one and is its only caller.
+///
+/// Callers that ask for a key whose read has not been sent share that read. When many reads of
+/// live job records wait, one list of all live records answers them.
 class ReadQueue {
  public:
-  // Somebody waits on a connection for each read: there need never be more of them than sockets.
-  ReadQueue(Link& link, std::size_t most_waiting)
-      : link_(link), most_waiting_(most_waiting), wake_(link.runtime(), [this] { pump(); }) {}
+  /// @param max_waiting  most reads that wait. A connection waits for each read, so that the
+  ///                     number of sockets bounds them.
+  ReadQueue(Transport& transport, std::size_t max_waiting)
+      : transport_(transport),
+        max_waiting_(max_waiting),
+        wake_(transport.runtime(), [this] { send_ready(); }) {}
 
-  // Given up, as Unavailable, after `patience`.
+  /// Reads a key. `done` runs exactly once: with Unavailable after `timeout`, or at once if
+  /// max_waiting reads wait. A shared read keeps the timeout of its first caller.
   void get(const std::string& key, std::function<void(ReadResult)> done, Duration timeout);
 
  private:
   struct Read {
     std::string key;
-    TimePoint give_up;
+    TimePoint deadline;
     int tries = 0;
-    std::vector<std::function<void(ReadResult)>> done;
+    std::vector<std::function<void(ReadResult)>> callbacks;
 
-    void answer(const ReadResult& result) const;
+    void complete(const ReadResult& result) const;
   };
 
-  void pump();
-  Read take_first();
+  void send_ready();
+  Read pop_front();
   void send(Read read);
-  void answered(Read& read, const HttpResponse& response);
-  void index();
-  std::size_t waiting_for_live(TimePoint now) const;
-  std::vector<Read> take_waiting_for_live(TimePoint now);
-  void read_live_batched();
-
-  Link& link_;
-  std::size_t most_waiting_;
-  std::deque<Read> reads_;
-  std::map<std::string, Read*> by_key_;  // deque entries keep their addresses at either end
+  void on_response(Read& read, const HttpResponse& response);
+  void rebuild_index();
+
+  static bool waits_for_live_record(const Read& read, TimePoint now);
+  bool enough_for_live_list(TimePoint now) const;
+  std::vector<Read> pop_reads_of_live_records(TimePoint now);
+  void list_live_records();
+  void on_live_list(const std::vector<Read>& reads, const ListResult& list);
+
+  Transport& transport_;
+  std::size_t max_waiting_;
+  std::deque<Read> waiting_;
+  std::map<std::string, Read*> by_key_;  // into waiting_, whose entries keep their addresses
   std::size_t in_flight_ = 0;
   WakeTimer wake_;
-  bool batch_in_flight_ = false;
-  TimePoint next_batch_{};
+  bool live_list_in_flight_ = false;
+  TimePoint next_live_list_{};
 };
 
 }  // namespace asterstair::store
--- /dev/null
+++ b/src/store/record_format.cpp
@@ -0,0 +1,20 @@
+#include "store/record_format.hpp"
+
+#include <string>
+
+namespace asterstair::store {
+namespace {
+
+constexpr const char* kFormatField = "form";
+
+}  // namespace
+
+void require_known_format(const wire::Json& value) {
+  if (wire::optional_member(value, kFormatField) == nullptr) return;
+  const auto format = wire::integer(value, kFormatField);
+  if (format > kRecordFormat) {
+    throw wire::DecodeError("form " + std::to_string(format) + " is newer", kFormatField);
+  }
+}
+
+}  // namespace asterstair::store
--- a/src/store/wake_timer.hpp
+++ b/src/store/wake_timer.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// A queue's timer: set to several times, it goes off at the earliest.
+/// @file
+/// Timer that wakes a queue.
 
 #include <algorithm>
 #include <functional>
@@ -9,30 +10,36 @@
 
 namespace asterstair::store {
 
+/// Runs an action at the earliest of the times it was set to since it last ran.
+///
+/// ReadQueue and WriteQueue own one each. Its owner must outlive the runtime's timers, which hold
+/// a reference to it and are not cancelled.
 class WakeTimer {
  public:
-  // `action` looks at everything that waits. Whoever holds the timer outlives the runtime's timers.
+  /// @param action  looks at everything that waits; it sets the timer again if anything still does
   WakeTimer(Runtime& runtime, std::function<void()> action)
       : runtime_(runtime), action_(std::move(action)) {}
 
+  /// Sets the timer to go off after `delay`, unless it goes off earlier already.
   void set(Duration delay) {
-    delay = std::max<Duration>(delay, kSoonest);
+    delay = std::max<Duration>(delay, kMinDelay);
     const auto at = runtime_.now() + delay;
     if (at_ && *at_ <= at) return;
     at_ = at;
     runtime_.after(delay, [this, at] {
-      if (at_ != at) return;  // an earlier one has been set since
+      if (at_ != at) return;  // superseded by an earlier time
       at_.reset();
       action_();
     });
   }
 
  private:
-  static constexpr auto kSoonest = std::chrono::milliseconds(2);
+  // Bounds how often a queue is looked at, and lets writes of one turn of the loop gather.
+  static constexpr auto kMinDelay = std::chrono::milliseconds(2);
 
   Runtime& runtime_;
   std::function<void()> action_;
-  std::optional<TimePoint> at_;
+  std::optional<TimePoint> at_;  // when the action runs next
 };
 
 }  // namespace asterstair::store
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -4,40 +4,47 @@
 
 namespace asterstair::wire {
 
+void fail_field(const char* field, std::string_view problem) {
+  throw DecodeError(std::string(field) + " " + std::string(problem), field);
+}
+
 Json parse(const std::string& body) {
-  Json out = Json::parse(body, nullptr, false);
-  if (out.is_discarded()) throw DecodeError("the body is not JSON");
-  if (!out.is_object()) throw DecodeError("the body is not a JSON object");
-  return out;
+  constexpr bool kAllowExceptions = false;
+  Json json = Json::parse(body, nullptr, kAllowExceptions);
+  if (json.is_discarded()) throw DecodeError("the body is not JSON");
+  if (!json.is_object()) throw DecodeError("the body is not a JSON object");
+  return json;
 }
 
 std::string dump(const Json& json) {
-  return json.dump(-1, ' ', false, Json::error_handler_t::replace);
+  constexpr int kNoIndent = -1;
+  constexpr bool kEnsureAscii = false;
+  return json.dump(kNoIndent, ' ', kEnsureAscii, Json::error_handler_t::replace);
 }
 
 const Json* optional_member(const Json& object, const char* key) {
-  const auto it = object.find(key);
-  return it == object.end() || it->is_null() ? nullptr : &*it;
+  const auto found = object.find(key);
+  return found == object.end() || found->is_null() ? nullptr : &*found;
 }
 
 const Json& member(const Json& object, const char* key) {
-  const Json* v = optional_member(object, key);
-  if (v == nullptr) throw DecodeError(std::string(key) + " is missing");
-  return *v;
+  const Json* value = optional_member(object, key);
+  if (value == nullptr) fail_field(key, "is missing");
+  return *value;
 }
 
 const std::string& text(const Json& object, const char* key) {
-  const Json& v = member(object, key);
-  if (!v.is_string()) throw DecodeError(std::string(key) + " must be a string");
-  return v.get_ref<const std::string&>();
+  const Json& value = member(object, key);
+  if (!value.is_string()) fail_field(key, "must be a string");
+  return value.get_ref<const std::string&>();
 }
 
 double number(const Json& object, const char* key) {
-  const Json& v = member(object, key);
-  if (!v.is_number()) throw DecodeError(std::string(key) + " must be a number");
-  const double d = v.get<double>();
-  if (!std::isfinite(d) || d < 0) throw DecodeError(std::string(key) + " must not be negative");
-  return d;
+  const Json& value = member(object, key);
+  if (!value.is_number()) fail_field(key, "must be a number");
+  const auto number = value.get<double>();
+  if (!std::isfinite(number) || number < 0) fail_field(key, "must not be negative");
+  return number;
 }
 
 double number_or(const Json& object, const char* key, double fallback) {
@@ -45,15 +52,15 @@
 }
 
 std::uint64_t integer(const Json& object, const char* key) {
-  const Json& v = member(object, key);
-  if (v.is_number_unsigned()) return v.get<std::uint64_t>();
-  throw DecodeError(std::string(key) + " must be a whole number");
+  const Json& value = member(object, key);
+  if (!value.is_number_unsigned()) fail_field(key, "must be a whole number");
+  return value.get<std::uint64_t>();
 }
 
 bool flag(const Json& object, const char* key) {
-  const Json& v = member(object, key);
-  if (!v.is_boolean()) throw DecodeError(std::string(key) + " must be true or false");
-  return v.get<bool>();
+  const Json& value = member(object, key);
+  if (!value.is_boolean()) fail_field(key, "must be true or false");
+  return value.get<bool>();
 }
 
 bool flag_or(const Json& object, const char* key, bool fallback) {
@@ -61,9 +68,9 @@
 }
 
 const Json& list(const Json& object, const char* key) {
-  const Json& v = member(object, key);
-  if (!v.is_array()) throw DecodeError(std::string(key) + " must be a list");
-  return v;
+  const Json& value = member(object, key);
+  if (!value.is_array()) fail_field(key, "must be a list");
+  return value;
 }
 
 }  // namespace asterstair::wire
--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -221,12 +221,12 @@
   std::mt19937_64 rng(3);
   for (std::size_t i = 0; i < done.size(); ++i) done[i] = (rng() & 1U) != 0;
   std::vector<bool> back(done.size());
-  const auto chunks = store::chunk_count(100000, value);
+  const auto chunks = store::progress_chunk_count(100000, value);
   EXPECT_GT(chunks, 1U);
   for (std::size_t c = 0; c < chunks; ++c) {
-    const auto json = store::encode_chunk(done, c, value);
+    const auto json = store::encode_progress_chunk(done, c, value);
     EXPECT_LE(json.dump().size(), value);
-    store::decode_chunk(json, c, value, back);
+    store::decode_progress_chunk(json, c, value, back);
   }
   EXPECT_EQ(done, back);
   EXPECT_EQ(store::parse_progress_key("progress/req-000001/2"),
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -113,11 +113,11 @@
   constexpr std::size_t kValueBytes = 8192;
   std::vector<bool> done(40, false);
   const char* const literal = R"({"done":"1f08"})";
-  store::decode_chunk(wire::parse(literal), 0, kValueBytes, done);
+  store::decode_progress_chunk(wire::parse(literal), 0, kValueBytes, done);
   EXPECT_TRUE(done[0] && done[4] && done[5] && done[6] && done[7] && done[15]);
   EXPECT_FALSE(done[1] || done[8] || done[14] || done[16]);
-  EXPECT_EQ(wire::dump(store::encode_chunk(done, 0, kValueBytes)), literal);
-  EXPECT_EQ(store::tasks_per_chunk(kValueBytes), 32512U);
+  EXPECT_EQ(wire::dump(store::encode_progress_chunk(done, 0, kValueBytes)), literal);
+  EXPECT_EQ(store::tasks_per_progress_chunk(kValueBytes), 32512U);
 }
 
 TEST(StoredRecords, MachineRegistryKeepsItsForm) {
--- a/tests/load/provisioning_failover.cpp
+++ b/tests/load/provisioning_failover.cpp
@@ -4,6 +4,8 @@
 //
 // Usage: asterstair_duty_takeover [runs] [machines per pool]
 
+#include <spdlog/spdlog.h>
+
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -701,7 +701,7 @@
 
 // A job's last task has ended, and the leader's note of it gets no answer; its user calls the job
 // off through another node and is told so; then the note is carried out after all. Guard:
-// store::end_job, conditional on the live record.
+// store::make_end_job_txn, conditional on the live record.
 TEST(LateTransactions, DoNotEndAJobTwice) {
   Scenario s(66);
   const auto id = s.submit(array(1, 20));
