--- a/src/leader/attempt_tracker.cpp
+++ b/src/leader/attempt_tracker.cpp
@@ -119,7 +119,7 @@
 // A gang completes together: when one task is done, every task is.
 void AttemptTracker::on_done(Machine& machine, const TaskAttempt& attempt, Job& job) {
   health_.on_task_done(machine);
-  const auto tasks_per_chunk = store::tasks_per_chunk(context_.settings.value_bytes);
+  const auto tasks_per_chunk = store::tasks_per_progress_chunk(context_.settings.value_bytes);
   const auto first = job.spec->gang() ? 0 : attempt.task.index;
   const auto last = job.spec->gang() ? job.spec->tasks - 1 : attempt.task.index;
   for (auto task = first; task <= last; ++task) {
--- a/src/leader/job_progress_log.cpp
+++ b/src/leader/job_progress_log.cpp
@@ -27,7 +27,7 @@
   wire::Txn txn;
   txn.conditions = {{store::live_key(id), job.version}};
   txn.changes = {{store::progress_key(id, 0),
-                  store::encode_chunk(job.done, 0, context_.settings.value_bytes)}};
+                  store::encode_progress_chunk(job.done, 0, context_.settings.value_bytes)}};
   writer_.write(std::move(txn), store::Urgency::Start, [this, id](bool committed) {
     Job* written = jobs_.find(id);
     if (written == nullptr) return;
@@ -56,8 +56,9 @@
   std::set<std::size_t> chunks;
   for (const auto chunk : job.dirty_chunks) {
     if (txn.changes.size() >= context_.settings.txn_ops) break;
-    txn.changes.push_back({store::progress_key(id, chunk),
-                           store::encode_chunk(job.done, chunk, context_.settings.value_bytes)});
+    txn.changes.push_back(
+        {store::progress_key(id, chunk),
+         store::encode_progress_chunk(job.done, chunk, context_.settings.value_bytes)});
     chunks.insert(chunk);
   }
   for (const auto chunk : chunks) job.dirty_chunks.erase(chunk);
@@ -76,7 +77,7 @@
 
 void JobProgressLog::mark_durable(Job& job, const std::set<std::size_t>& chunks,
                                   const std::vector<bool>& written) const {
-  const auto tasks_per_chunk = store::tasks_per_chunk(context_.settings.value_bytes);
+  const auto tasks_per_chunk = store::tasks_per_progress_chunk(context_.settings.value_bytes);
   for (const auto chunk : chunks) {
     const auto end = std::min<std::size_t>((chunk + 1) * tasks_per_chunk, written.size());
     for (std::size_t task = chunk * tasks_per_chunk; task < end; ++task) {
@@ -88,8 +89,8 @@
 void JobProgressLog::complete(Job& job) {
   if (job.completion_write_in_flight || !context_.election.lease_valid()) return;
   job.completion_write_in_flight = true;
-  auto txn = store::end_job(*job.spec, job.version, false, context_.settings.value_bytes,
-                            context_.settings.txn_ops);
+  auto txn = store::make_end_job_txn(*job.spec, job.version, false, context_.settings.value_bytes,
+                                     context_.settings.txn_ops);
   txn.conditions.push_back(context_.election.guard());
   auto on_result = [this, id = job.spec->id](const store::WriteResult& result) {
     Job* completed = jobs_.find(id);
--- a/src/leader/live_jobs.cpp
+++ b/src/leader/live_jobs.cpp
@@ -40,7 +40,7 @@
   stop_tasks(*job);
   log::info("job {} of {} ended after {:.1f} s, {} of {} tasks done", id, job->spec->job_class,
             timing_.age(*job).count(), job->done_count, job->spec->tasks);
-  const auto chunks = store::chunk_count(job->spec->tasks, context_.settings.value_bytes);
+  const auto chunks = store::progress_chunk_count(job->spec->tasks, context_.settings.value_bytes);
   for (std::size_t chunk = 0; chunk < chunks; ++chunk) {
     writer_.forget(store::progress_key(id, chunk));
   }
--- a/src/leader/term_recovery.cpp
+++ b/src/leader/term_recovery.cpp
@@ -106,7 +106,7 @@
   }
   writer_.set_version(item.key, item.version);
   try {
-    store::decode_chunk(*item.value, chunk, context_.settings.value_bytes, job->done);
+    store::decode_progress_chunk(*item.value, chunk, context_.settings.value_bytes, job->done);
   } catch (const wire::DecodeError& error) {
     log::error("progress of {} is malformed: {}", id, error.what());
   }
