--- a/src/autoscale/autoscale.cpp
+++ b/src/autoscale/autoscale.cpp
@@ -100,7 +100,7 @@
   const auto now = runtime_.now();
   inventory_.listed(machines, term_->machines(), now);
   return_policy_.listed(machines, first_list_, now);
-  for (const auto& machine : inventory_.take_vanished()) operations_->settle(machine);
+  for (const auto& machine : inventory_.take_vanished()) operations_->resolve_machine(machine);
 }
 
 // Machines that the operation log names are settled once they are on the machine registry: a later
@@ -108,13 +108,13 @@
 void Autoscaler::settle_machines() {
   inventory_.update(term_->machines(), runtime_.now());
   std::vector<std::string> settled;
-  for (const auto& [machine, operation] : operations_->unsettled()) {
+  for (const auto& [machine, operation] : operations_->unresolved_machines()) {
     const auto* m = term_->machines().find(machine);
     const bool pending = m == nullptr && inventory_.pending().count(machine) != 0;
     const bool joining = m != nullptr && !m->registered;
     if (!pending && !joining) settled.push_back(machine);
   }
-  for (const auto& machine : settled) operations_->settle(machine);
+  for (const auto& machine : settled) operations_->resolve_machine(machine);
 }
 
 void Autoscaler::publish_orphans() {
@@ -149,7 +149,7 @@
 std::map<std::string, PendingMachine> Autoscaler::pending_and_requested() const {
   const auto now = runtime_.now();
   auto out = inventory_.pending();
-  for (const auto& [name, o] : operations_->open()) {
+  for (const auto& [name, o] : operations_->pending_operations()) {
     if (o.kind != provisioning::OperationKind::Rent) continue;
     for (std::size_t i = 0; i < o.rental.count; ++i) {
       out[name + "/" + std::to_string(i)] = {pool_of(o.rental), now, now};
@@ -206,7 +206,7 @@
   inventory_.update(term_->machines(), runtime_.now());
   const auto pending = pending_and_requested();
   std::set<Pool> under_way;
-  for (const auto& [name, o] : operations_->open()) {
+  for (const auto& [name, o] : operations_->pending_operations()) {
     if (o.kind == provisioning::OperationKind::Rent) under_way.insert(pool_of(o.rental));
   }
   std::map<std::string, CountByZone> by_type;
@@ -261,7 +261,7 @@
   for (const auto& [machine, reason] : o.returns) {
     inventory_.returned(machine, now);
     return_policy_.returned(machine);
-    operations_->settle(machine);
+    operations_->resolve_machine(machine);
     term_->machine_gone(machine);
   }
 }
@@ -284,11 +284,11 @@
 // One return is under way at a time. From here on no leader gives the machines work: none of this
 // term, see Term::begin_return, and none later, since the operation log tells of them.
 void Autoscaler::send_returns() {
-  if (operations_->returning() || !operations_->may_begin() || !cloud_.may_call()) return;
+  if (operations_->has_pending_return() || !operations_->may_begin() || !cloud_.may_call()) return;
   const auto returns = return_policy_.due(wire::kMostReturned);
   if (returns.empty()) return;
   for (const auto& [machine, reason] : returns) term_->begin_return(machine);
-  operations_->give_back(returns);
+  operations_->return_machines(returns);
 }
 
 }  // namespace asterstair::autoscale
--- a/src/autoscale/inventory.cpp
+++ b/src/autoscale/inventory.cpp
@@ -37,7 +37,7 @@
       it->second.state != provisioning::OrphanedInstance::State::Waiting)
     return;
   it->second.state = state;
-  log::info("machine {}, which nobody accounted for: {}", machine, provisioning::word(state));
+  log::info("machine {}, which nobody accounted for: {}", machine, provisioning::to_string(state));
 }
 
 void Inventory::listed(const std::vector<ListedMachine>& machines,
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -54,7 +54,8 @@
   });
 }
 
-void Cloud::rent(const wire::RentalRequest& request, std::function<void(RentResult)> done) {
+void Cloud::rent_machines(const wire::RentalRequest& request,
+                          std::function<void(RentResult)> done) {
   send(wire::rent_request(request), [done = std::move(done)](const HttpResponse& r) {
     RentResult out;
     if (r.status == 200) {
@@ -66,7 +67,7 @@
     } else if (r.status == kFenced) {
       log::error("cloud: a rental was refused: {}", r.body);
     } else if (r.status == 429 || r.status == 503) {
-      out.outcome = RentResult::Outcome::Refused;
+      out.outcome = RentResult::Outcome::NotExecuted;
     } else if (r.status == 400) {
       log::error("cloud refused a rental: {}", r.body);
       out.outcome = RentResult::Outcome::NoCapacity;
@@ -75,7 +76,8 @@
   });
 }
 
-void Cloud::give_back(const wire::ReturnOrder& order, std::function<void(ReturnOutcome)> done) {
+void Cloud::return_machines(const wire::ReturnOrder& order,
+                            std::function<void(ReturnOutcome)> done) {
   send(wire::return_request(order), [done = std::move(done)](const HttpResponse& r) {
     if (r.status == kFenced) log::error("cloud: a return was refused: {}", r.body);
     done(r.status == 200 ? ReturnOutcome::Gone : ReturnOutcome::Unknown);
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -16,7 +16,7 @@
   Cloud(Runtime& runtime, const Settings& settings);
 
   struct RentResult {
-    enum class Outcome { Rented, NoCapacity, Refused, Unknown } outcome = Outcome::Unknown;
+    enum class Outcome { Rented, NoCapacity, NotExecuted, Unknown } outcome = Outcome::Unknown;
     std::vector<std::string> machines;
   };
 
@@ -27,9 +27,9 @@
   bool may_call();
   void count_call();
   void machine_types(std::function<void(std::optional<std::vector<MachineType>>)> done);
-  void rent(const wire::RentalRequest& request, std::function<void(RentResult)> done);
+  void rent_machines(const wire::RentalRequest& request, std::function<void(RentResult)> done);
   // Gone: the machines and all on them.
-  void give_back(const wire::ReturnOrder& order, std::function<void(ReturnOutcome)> done);
+  void return_machines(const wire::ReturnOrder& order, std::function<void(ReturnOutcome)> done);
   void list(const std::string& after, std::function<void(std::optional<wire::MachinePage>)> done);
 
  private:
--- a/src/provisioning/admin_commands.cpp
+++ b/src/provisioning/admin_commands.cpp
@@ -11,135 +11,141 @@
 namespace {
 
 constexpr const char* kNoAnswer = "the state service does not answer";
+constexpr const char* kNoHolder = "nobody holds the provisioning lease";
 
-// The item with just this key: a list by prefix may hold others.
+// Returns the item with exactly this key: a list by prefix may hold others. nullptr if it is
+// absent.
 const wire::Item* find(const std::vector<wire::Item>& items, const std::string& key) {
   const auto it =
-      std::find_if(items.begin(), items.end(), [&](const auto& i) { return i.key == key; });
+      std::find_if(items.begin(), items.end(), [&](const auto& item) { return item.key == key; });
   return it == items.end() ? nullptr : &*it;
 }
 
-std::string describe(const Operation& o) {
-  if (o.kind == OperationKind::Rent) {
-    return fmt::format("{} {}: rent {} of {} {} in {}, granted {}, by {} with token {}", o.name,
-                       word(o.state), o.rental.count, o.rental.spot ? "spot" : "ordinary",
-                       o.rental.type, o.rental.zone, o.machines.size(), o.holder, o.token);
-  }
-  std::string machines;
-  for (const auto& [machine, reason] : o.returns) {
-    machines += fmt::format(" {} ({})", machine, word(reason));
-  }
-  return fmt::format("{} {}: return{}, by {} with token {}", o.name, word(o.state), machines,
-                     o.holder, o.token);
+std::uint64_t version_of(const wire::Item* item) { return item == nullptr ? 0 : item->version; }
+
+std::string describe_operation(const wire::Item& item) {
+  const auto operation = decode_operation(item.key, *item.value);
+  return fmt::format("{} {}: {}, by {} with token {}", operation.name, to_string(operation.state),
+                     describe(operation), operation.holder, operation.token);
 }
 
 std::string describe_holder(const wire::Item* item) {
-  if (item == nullptr) return "nobody holds the duty";
+  if (item == nullptr) return kNoHolder;
   const auto record = store::decode_holder(*item->value);
   return fmt::format("held by {} with token {}", record.node, item->version);
 }
 
 std::string describe_control(const wire::Item* item) {
-  const Control control = item == nullptr ? Control{} : decode_control(*item->value);
-  return fmt::format("{}", control.paused ? "paused: nothing new is begun" : "in service");
+  const auto control = item == nullptr ? ControlRecord{} : decode_control(*item->value);
+  return control.paused ? "paused: no operation begins" : "in service";
+}
+
+std::string describe_orphans(const wire::Item& item) {
+  std::string text = "orphaned instances:";
+  for (const auto& orphan : decode_orphans(*item.value)) {
+    text += fmt::format(" {} ({})", orphan.machine, to_string(orphan.state));
+  }
+  return text;
+}
+
+std::string describe_error(const std::string& key, const wire::DecodeError& error) {
+  return fmt::format("{} cannot be read: {}", key, error.what());
 }
 
+// Returns the text that `describe` makes of the record, or the error if it cannot be decoded.
 template <typename Describe>
-std::string described(const std::string& key, Describe describe) {
+std::string description_or_error(const std::string& key, Describe describe) {
   try {
     return describe();
-  } catch (const wire::DecodeError& e) {
-    return fmt::format("{} cannot be read: {}", key, e.what());
+  } catch (const wire::DecodeError& error) {
+    return describe_error(key, error);
   }
 }
 
 }  // namespace
 
-void AdminCommands::read(const std::function<void(bool ok, const State&)>& done) {
-  auto state = std::make_shared<State>();
-  auto left = std::make_shared<int>(4);
+void AdminCommands::read(const std::function<void(bool ok, const Snapshot&)>& done) {
+  auto snapshot = std::make_shared<Snapshot>();
+  auto lists_left = std::make_shared<int>(4);
   auto ok = std::make_shared<bool>(true);
-  const auto list = [&](const char* prefix, std::vector<wire::Item> State::*part) {
-    store_.list(prefix, [state, left, ok, part, done](const store::ListResult& r) {
-      *ok = *ok && r.ok;
-      (*state).*part = r.items;
-      if (--*left == 0) done(*ok, *state);
+  const auto list = [&](const char* prefix, std::vector<wire::Item> Snapshot::*part) {
+    store_.list(prefix, [snapshot, lists_left, ok, part, done](const store::ListResult& result) {
+      *ok = *ok && result.ok;
+      (*snapshot).*part = result.items;
+      if (--*lists_left == 0) done(*ok, *snapshot);
     });
   };
-  list(kLeaseKey, &State::lease);
-  list(kControlKey, &State::control);
-  list(kOperationPrefix, &State::operation_log);
-  list(kOrphansKey, &State::orphans);
+  list(kLeaseKey, &Snapshot::lease);
+  list(kControlKey, &Snapshot::control);
+  list(kOperationPrefix, &Snapshot::operations);
+  list(kOrphansKey, &Snapshot::orphans);
 }
 
 void AdminCommands::show(const Done& done) {
-  read([done](bool ok, const State& state) {
+  read([done](bool ok, const Snapshot& snapshot) {
     if (!ok) {
       done(false, {kNoAnswer});
       return;
     }
-    std::vector<std::string> lines;
-    lines.push_back(
-        described(kLeaseKey, [&] { return describe_holder(find(state.lease, kLeaseKey)); }));
-    lines.push_back(
-        described(kControlKey, [&] { return describe_control(find(state.control, kControlKey)); }));
-    for (const auto& item : state.operation_log) {
-      lines.push_back(
-          described(item.key, [&] { return describe(decode_operation(item.key, *item.value)); }));
-    }
-    if (const auto* item = find(state.orphans, kOrphansKey)) {
-      lines.push_back(described(item->key, [&] {
-        std::string text = "machines nobody accounted for:";
-        for (const auto& o : decode_orphans(*item->value)) {
-          text += fmt::format(" {} ({})", o.machine, word(o.state));
-        }
-        return text;
-      }));
-    }
-    done(true, lines);
+    done(true, describe(snapshot));
   });
 }
 
-void AdminCommands::write_control(const Control& control, std::uint64_t version, const Done& done) {
+std::vector<std::string> AdminCommands::describe(const Snapshot& snapshot) {
+  std::vector<std::string> lines;
+  lines.push_back(description_or_error(
+      kLeaseKey, [&] { return describe_holder(find(snapshot.lease, kLeaseKey)); }));
+  lines.push_back(description_or_error(
+      kControlKey, [&] { return describe_control(find(snapshot.control, kControlKey)); }));
+  for (const auto& item : snapshot.operations) {
+    lines.push_back(description_or_error(item.key, [&] { return describe_operation(item); }));
+  }
+  if (const auto* item = find(snapshot.orphans, kOrphansKey)) {
+    lines.push_back(description_or_error(item->key, [&] { return describe_orphans(*item); }));
+  }
+  return lines;
+}
+
+void AdminCommands::write_control(const ControlRecord& control, std::uint64_t version,
+                                  const Done& done) {
   wire::Txn txn;
   txn.conditions.push_back({kControlKey, version});
   txn.changes.push_back({kControlKey, encode_control(control)});
-  store_.write(std::move(txn), store::Urgency::User, [done](const store::WriteResult& r) {
-    const bool committed = r.outcome == store::WriteOutcome::Committed;
-    done(committed,
-         {committed ? "asked for; the holder looks every 5 s" : "not done, or not known"});
+  store_.write(std::move(txn), store::Urgency::User, [done](const store::WriteResult& result) {
+    const bool committed = result.outcome == store::WriteOutcome::Committed;
+    done(committed, {committed ? "requested; the holder reads requests every 5 s"
+                               : "not requested, or the outcome is unknown"});
   });
 }
 
-// A record that cannot be read is replaced: it pauses the provisioning lease until it is.
+// Replaces a control record that cannot be decoded: the holder stays paused while there is one.
 void AdminCommands::pause(bool paused, const Done& done) {
-  read([this, paused, done](bool ok, const State& state) {
+  read([this, paused, done](bool ok, const Snapshot& snapshot) {
     if (!ok) {
       done(false, {kNoAnswer});
       return;
     }
-    const auto* item = find(state.control, kControlKey);
-    write_control({paused, 0}, item == nullptr ? 0 : item->version, done);
+    write_control({paused, 0}, version_of(find(snapshot.control, kControlKey)), done);
   });
 }
 
 void AdminCommands::hand_over(const Done& done) {
-  read([this, done](bool ok, const State& state) {
-    const auto* lease = find(state.lease, kLeaseKey);
+  read([this, done](bool ok, const Snapshot& snapshot) {
+    const auto* lease = find(snapshot.lease, kLeaseKey);
     if (!ok || lease == nullptr) {
-      done(false, {ok ? "nobody holds the duty" : kNoAnswer});
+      done(false, {ok ? kNoHolder : kNoAnswer});
       return;
     }
-    const auto* item = find(state.control, kControlKey);
-    Control control;
+    const auto* item = find(snapshot.control, kControlKey);
+    ControlRecord control;
     try {
       if (item != nullptr) control = decode_control(*item->value);
-    } catch (const wire::DecodeError& e) {
-      done(false, {fmt::format("{} cannot be read: {}", kControlKey, e.what())});
+    } catch (const wire::DecodeError& error) {
+      done(false, {describe_error(kControlKey, error)});
       return;
     }
     control.hand_over_from = lease->version;
-    write_control(control, item == nullptr ? 0 : item->version, done);
+    write_control(control, version_of(item), done);
   });
 }
 
--- a/src/provisioning/admin_commands.hpp
+++ b/src/provisioning/admin_commands.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// What operators see of the machine duty and ask of it, straight from the state service: it works
-// whatever the nodes do.
+/// \file
+/// Admin commands on provisioning. They read and write the state service directly, so they work
+/// whatever state the nodes are in. Used by main().
 
 #include <functional>
 #include <string>
@@ -11,25 +12,30 @@
 
 namespace asterstair::provisioning {
 
+/// Runs one admin command at a time. Must outlive the callbacks.
 class AdminCommands {
  public:
-  // The lines to be shown; `ok` is false if the state service did not answer or refused.
+  /// Receives the lines to print. `ok` is false if the state service did not answer or refused.
   using Done = std::function<void(bool ok, const std::vector<std::string>& lines)>;
 
   explicit AdminCommands(store::Store& store) : store_(store) {}
 
-  // Holder, token, what has been asked for, operations, quarantined records, orphans.
+  /// Shows the lease's holder and token, the control record, operations and orphaned instances.
+  /// Records that cannot be decoded are shown with the error.
   void show(const Done& done);
+  /// Pauses provisioning, or resumes it if `paused` is false.
   void pause(bool paused, const Done& done);
-  // Asks the present holder to give the provisioning lease to another node.
+  /// Requests that the present holder gives the provisioning lease to another node.
   void hand_over(const Done& done);
 
  private:
-  struct State {
-    std::vector<wire::Item> lease, control, operation_log, orphans;
+  /// The records of all keys that begin with the key or prefix of each kind.
+  struct Snapshot {
+    std::vector<wire::Item> lease, control, operations, orphans;
   };
-  void read(const std::function<void(bool ok, const State&)>& done);
-  void write_control(const Control& control, std::uint64_t version, const Done& done);
+  void read(const std::function<void(bool ok, const Snapshot&)>& done);
+  static std::vector<std::string> describe(const Snapshot& snapshot);
+  void write_control(const ControlRecord& control, std::uint64_t version, const Done& done);
 
   store::Store& store_;
 };
--- a/src/provisioning/fencing_authority.hpp
+++ b/src/provisioning/fencing_authority.hpp
@@ -1,5 +1,7 @@
 #pragma once
-// On whose strength machines are rented and returned.
+/// \file
+/// Interface through which operations are fenced. Implemented by ProvisioningController; used by
+/// OperationRunner and StoredOperationLog.
 
 #include <cstdint>
 #include <vector>
@@ -8,20 +10,21 @@
 
 namespace asterstair::provisioning {
 
+/// Answers whether, and under which fencing token, machines may be rented and returned.
 class FencingAuthority {
  public:
   virtual ~FencingAuthority() = default;
-  // Whether orders may be sent to the cloud now.
+  /// Whether this node's lease is valid, so that requests may be sent to the cloud now.
   virtual bool lease_valid() const = 0;
-  // Whether an operator has asked that nothing new is begun.
+  /// Whether an administrator has paused provisioning: no new operation may begin.
   virtual bool paused() const = 0;
-  // The fencing token; operations are named after it.
+  /// The fencing token. Operations are named after it.
   virtual std::uint64_t token() const = 0;
-  // Whether the token is offered to the cloud with each order.
+  /// Whether requests to the cloud carry the fencing token.
   virtual bool offers_token() const = 0;
-  // The conditions that every write to the operation log carries.
+  /// Conditions of every write to the operation log. They fail once this node's token is outdated.
   virtual std::vector<wire::Condition> guards() const = 0;
-  // Asks for a new token, so that writes under this one fail from then on.
+  /// Requests a new token. All unanswered writes under the present one fail from then on.
   virtual void renew_token() = 0;
 };
 
--- a/src/provisioning/operation.cpp
+++ b/src/provisioning/operation.cpp
@@ -1,51 +1,42 @@
 #include "provisioning/operation.hpp"
 
-#include <array>
-#include <utility>
+#include <fmt/format.h>
+
+#include "provisioning/name_table.hpp"
 
 namespace asterstair::provisioning {
 namespace {
 
-template <typename E>
-using Word = std::pair<E, std::string_view>;
-
-constexpr std::array<Word<OperationKind>, 2> kKinds{
+constexpr NameTable<OperationKind, 2> kKindNames{
     {{OperationKind::Rent, "rent"}, {OperationKind::Return, "return"}}};
 
-constexpr std::array<Word<OperationState>, 6> kStates{{{OperationState::Pending, "intended"},
-                                                       {OperationState::Granted, "granted"},
-                                                       {OperationState::Refused, "refused"},
-                                                       {OperationState::Withdrawn, "withdrawn"},
-                                                       {OperationState::Confirmed, "confirmed"},
-                                                       {OperationState::Settled, "settled"}}};
-
-constexpr std::array<Word<ReturnReason>, 7> kReasons{{{ReturnReason::Idle, "idle"},
-                                                      {ReturnReason::Faulty, "faulty"},
-                                                      {ReturnReason::Unreachable, "unreachable"},
-                                                      {ReturnReason::LeaseExpired, "silent"},
-                                                      {ReturnReason::FailedBoot, "failed boot"},
-                                                      {ReturnReason::Stopped, "stopped"},
-                                                      {ReturnReason::Unlisted, "unlisted"}}};
-
-template <typename Table, typename E>
-std::string_view find_word(const Table& table, E value) {
-  for (const auto& [each, word] : table) {
-    if (each == value) return word;
-  }
-  return "";
-}
+constexpr NameTable<OperationState, 6> kStateNames{{{OperationState::Pending, "intended"},
+                                                    {OperationState::Granted, "granted"},
+                                                    {OperationState::Refused, "refused"},
+                                                    {OperationState::Withdrawn, "withdrawn"},
+                                                    {OperationState::Confirmed, "confirmed"},
+                                                    {OperationState::Settled, "settled"}}};
 
-template <typename E, std::size_t N>
-std::optional<E> find_value(const std::array<Word<E>, N>& table, std::string_view word) {
-  for (const auto& [value, each] : table) {
-    if (each == word) return value;
+constexpr NameTable<ReturnReason, 7> kReasonNames{{{ReturnReason::Idle, "idle"},
+                                                   {ReturnReason::Faulty, "faulty"},
+                                                   {ReturnReason::Unreachable, "unreachable"},
+                                                   {ReturnReason::LeaseExpired, "silent"},
+                                                   {ReturnReason::FailedBoot, "failed boot"},
+                                                   {ReturnReason::Stopped, "stopped"},
+                                                   {ReturnReason::Unlisted, "unlisted"}}};
+
+std::string describe(const Returns& returns) {
+  std::string machines;
+  for (const auto& [machine, reason] : returns) {
+    if (!machines.empty()) machines += ", ";
+    machines += fmt::format("{} ({})", machine, to_string(reason));
   }
-  return std::nullopt;
+  return "return " + machines;
 }
 
 }  // namespace
 
-bool is_legal(OperationKind kind, OperationState from, OperationState to) {
+bool is_valid_transition(OperationKind kind, OperationState from, OperationState to) {
   if (to == OperationState::Settled) {
     return from != OperationState::Pending && from != OperationState::Settled;
   }
@@ -55,7 +46,7 @@
          to == OperationState::Withdrawn;
 }
 
-bool is_over(OperationState state) {
+bool is_final(OperationState state) {
   return state == OperationState::Refused || state == OperationState::Withdrawn ||
          state == OperationState::Settled;
 }
@@ -65,11 +56,28 @@
          reason == ReturnReason::Stopped || reason == ReturnReason::Unlisted;
 }
 
-std::string_view word(OperationKind kind) { return find_word(kKinds, kind); }
-std::string_view word(OperationState state) { return find_word(kStates, state); }
-std::string_view word(ReturnReason reason) { return find_word(kReasons, reason); }
-std::optional<OperationKind> kind_of(std::string_view word) { return find_value(kKinds, word); }
-std::optional<OperationState> state_of(std::string_view word) { return find_value(kStates, word); }
-std::optional<ReturnReason> reason_of(std::string_view word) { return find_value(kReasons, word); }
+std::string_view to_string(OperationKind kind) { return name_of(kKindNames, kind); }
+std::string_view to_string(OperationState state) { return name_of(kStateNames, state); }
+std::string_view to_string(ReturnReason reason) { return name_of(kReasonNames, reason); }
+
+std::optional<OperationKind> parse_operation_kind(std::string_view name) {
+  return value_of(kKindNames, name);
+}
+
+std::optional<OperationState> parse_operation_state(std::string_view name) {
+  return value_of(kStateNames, name);
+}
+
+std::optional<ReturnReason> parse_return_reason(std::string_view name) {
+  return value_of(kReasonNames, name);
+}
+
+std::string describe(const Operation& operation) {
+  if (operation.kind == OperationKind::Return) return describe(operation.returns);
+  const Rental& rental = operation.rental;
+  return fmt::format("rent {} of {} {} in {}, granted {}", rental.count,
+                     rental.spot ? "spot" : "on-demand", rental.type, rental.zone,
+                     operation.machines.size());
+}
 
 }  // namespace asterstair::provisioning
--- a/src/provisioning/operation.hpp
+++ b/src/provisioning/operation.hpp
@@ -1,6 +1,7 @@
 #pragma once
-// Operations on the cloud's machines, as the operation log keeps them: what they are, which states
-// they go through, and why machines are returned. Pure types.
+/// \file
+/// Operations on cloud machines: their kinds, their states and the reasons for returns. Pure types,
+/// shared by the operation log, the operation runner and the autoscaler.
 
 #include <cstdint>
 #include <map>
@@ -13,64 +14,81 @@
 
 namespace asterstair::provisioning {
 
-enum class OperationKind { Rent, Return };
+/// What an operation asks of the cloud.
+enum class OperationKind {
+  Rent,   ///< rent machines
+  Return  ///< return machines, with everything on them
+};
 
+/// State of an operation. Pending is the write-ahead state; see is_valid_transition().
 enum class OperationState {
-  Pending,    // durable; the cloud may or may not have been asked
-  Granted,    // Rent: the cloud has named the machines
-  Refused,    // Rent: the cloud has none; ends the operation
-  Withdrawn,  // Rent: surely not carried out, and not wanted any more; ends the operation
-  Confirmed,  // Return: the machines and all on them are gone
-  Settled     // over; the record stays only so that a late copy of its beginning fails
+  Pending,    ///< Durable, without a known result. The cloud may or may not have been asked.
+  Granted,    ///< Rent: the cloud has named the machines.
+  Refused,    ///< Rent: the cloud has no capacity. Final.
+  Withdrawn,  ///< Rent: certainly not executed, and no longer wanted. Final.
+  Confirmed,  ///< Return: the machines and everything on them are gone.
+  Settled     ///< Final. The record only makes a delayed write of the Pending record fail.
 };
 
-// Whether an operation of this kind may go from one state to the other.
-bool is_legal(OperationKind kind, OperationState from, OperationState to);
-// Whether nothing is left to be done for an operation in this state.
-bool is_over(OperationState state);
+/// Whether an operation of this kind may change from one state to the other.
+bool is_valid_transition(OperationKind kind, OperationState from, OperationState to);
+
+/// Whether an operation in this state needs no further work.
+bool is_final(OperationState state);
 
+/// Why a machine is returned.
 enum class ReturnReason {
-  Idle,          // not needed, known to be empty
-  Faulty,        // fails its tasks; emptied first
-  Unreachable,   // reports, but no answer has reached it for long
-  LeaseExpired,  // its lease has long run out
-  FailedBoot,    // has not come up
-  Stopped,       // listed as failed
-  Unlisted       // a take-over waits for it, and it neither reports nor is listed
+  Idle,          ///< not needed, and known to be empty
+  Faulty,        ///< tasks fail on it; drained first
+  Unreachable,   ///< its heartbeats arrive, but it has not received answers for a long time
+  LeaseExpired,  ///< its lease expired long ago
+  FailedBoot,    ///< exceeded its boot timeout
+  Stopped,       ///< the cloud lists it as failed
+  Unlisted       ///< a new leader waits for it, and it neither sends heartbeats nor is listed
 };
 
-// Whether tasks that the machine may hold are given up on purpose. All other returns are of
-// machines that are known to be empty.
+/// Whether a return for this reason deliberately gives up tasks that the machine may hold. All
+/// other returns are of machines that are known to be empty.
 bool gives_up_work(ReturnReason reason);
 
-// Machines of one type, zone and kind.
+/// A request for machines of one type, zone and price class.
 struct Rental {
-  std::string type, zone;
-  bool spot = false;
-  std::size_t count = 0;
+  std::string type;       ///< name of the machine type
+  std::string zone;       ///< zone of all machines
+  bool spot = false;      ///< spot machines; otherwise on-demand machines
+  std::size_t count = 0;  ///< number of machines; 1 to wire::kMostRented
   bool operator==(const Rental&) const = default;
 };
 
-using Returns = std::map<std::string, ReturnReason>;  // by machine
+/// Machines to return, each with the reason.
+using Returns = std::map<std::string, ReturnReason>;
 
+/// One request to the cloud, as the operation log stores it.
 struct Operation {
-  std::string name;  // never used again, not even by another node
+  std::string name;  ///< Unique for ever, over all nodes. The cloud deduplicates rentals by it.
   OperationKind kind = OperationKind::Rent;
   OperationState state = OperationState::Pending;
-  std::uint64_t token = 0;  // under which it was begun
-  std::string holder;       // the node that began it
-  WallTime begun{};
-  Rental rental;                      // Rent
-  std::vector<std::string> machines;  // Rent: granted
-  Returns returns;                    // Return
+  std::uint64_t token = 0;            ///< fencing token under which it began
+  std::string holder;                 ///< node that began it
+  WallTime begun{};                   ///< when it began, by that node's clock
+  Rental rental;                      ///< for Rent
+  std::vector<std::string> machines;  ///< for Rent in state Granted: the granted machines
+  Returns returns;                    ///< for Return
   bool operator==(const Operation&) const = default;
 };
 
-std::string_view word(OperationKind kind);
-std::string_view word(OperationState state);
-std::string_view word(ReturnReason reason);
-std::optional<OperationKind> kind_of(std::string_view word);
-std::optional<OperationState> state_of(std::string_view word);
-std::optional<ReturnReason> reason_of(std::string_view word);
+/// Names used in stored records, log lines and the output of admin commands.
+std::string_view to_string(OperationKind kind);
+std::string_view to_string(OperationState state);
+std::string_view to_string(ReturnReason reason);
+
+/// Inverse of to_string(); nothing if the name is unknown.
+std::optional<OperationKind> parse_operation_kind(std::string_view name);
+std::optional<OperationState> parse_operation_state(std::string_view name);
+std::optional<ReturnReason> parse_return_reason(std::string_view name);
+
+/// Describes what the operation asks for, for log lines and admin commands: "rent 3 of spot c16 in
+/// north, granted 2" or "return n-1 (idle), n-2 (faulty)".
+std::string describe(const Operation& operation);
 
 }  // namespace asterstair::provisioning
--- a/src/provisioning/operation_log.hpp
+++ b/src/provisioning/operation_log.hpp
@@ -1,5 +1,7 @@
 #pragma once
-// Where operations are made durable before the cloud is asked, and their results after.
+/// \file
+/// Interface of the operation log: operations are durable before the cloud is asked, and their
+/// results afterwards. Used by OperationRunner.
 
 #include <functional>
 #include <memory>
@@ -10,28 +12,38 @@
 
 namespace asterstair::provisioning {
 
+/// Result of OperationLog::append().
+enum class AppendOutcome {
+  Durable,  ///< the Pending record is durable: the cloud may be asked
+  Dropped   ///< the record is not stored, and never will be: the name is free
+};
+
+/// Write-ahead log of operations on machines.
 class OperationLog {
  public:
   virtual ~OperationLog() = default;
-  // Reads what earlier holders left. Called back once, when it is known.
+  /// Reads the operations that earlier leaders left. Calls back once, as soon as they are known.
   virtual void load(std::function<void(std::vector<Operation>)> done) = 0;
-  // Whether one more operation may be begun.
+  /// Whether one more operation may be appended.
   virtual bool has_room() const = 0;
-  // True: it is durable. False: it surely never will be, and the name is free.
-  virtual void begin(const Operation& operation, std::function<void(bool durable)> done) = 0;
-  // Records the state that a begun operation has reached; tried until it is durable.
+  /// Stores a Pending operation. Calls back once, when the outcome is certain.
+  virtual void append(const Operation& operation, std::function<void(AppendOutcome)> done) = 0;
+  /// Stores a new state of an appended operation. Retries until it is durable.
   virtual void update(const Operation& operation) = 0;
+  /// Removes the record of a completed operation. Retries until that is durable.
   virtual void remove(const std::string& name) = 0;
 };
 
-// Keeps nothing: operations are held by whoever leads, and forgotten with the term.
+/// Stores nothing. Without durable provisioning the operations end with the term of their leader.
 class TransientOperationLog : public OperationLog {
  public:
   void load(std::function<void(std::vector<Operation>)> done) override { done({}); }
   bool has_room() const override { return true; }
-  void begin(const Operation&, std::function<void(bool durable)> done) override { done(true); }
-  void update(const Operation&) override {}
-  void remove(const std::string&) override {}
+  void append(const Operation& /*operation*/, std::function<void(AppendOutcome)> done) override {
+    done(AppendOutcome::Durable);
+  }
+  void update(const Operation& /*operation*/) override {}
+  void remove(const std::string& /*name*/) override {}
 };
 
 }  // namespace asterstair::provisioning
--- a/src/provisioning/operation_runner.cpp
+++ b/src/provisioning/operation_runner.cpp
@@ -7,14 +7,16 @@
 namespace asterstair::provisioning {
 namespace {
 
-constexpr auto kSendAgain =
-    500ms;  // not holding a valid lease, or no call of the cloud's limit left
-constexpr auto kRepeatRental = 2s;  // an unanswered one, with its name
-constexpr auto kRepeatReturn = 1s;
-// Confirmed returns are kept for as long as the cloud's lists may show the machines: a new holder
-// must not take them for machines that nobody accounts for.
-constexpr int kListLags = 3;
-constexpr auto kKeptReturn = 60s;
+// Delay of a request while the lease is not valid or the cloud's rate limit is used up.
+constexpr auto kSendRetryDelay = 500ms;
+// Delay of the next request for a rental, or for a return, that the cloud has not answered.
+constexpr auto kRentalRetryDelay = 2s;
+constexpr auto kReturnRetryDelay = 1s;
+// Records of confirmed returns are kept for as long as the cloud's lists may show the machines, as
+// multiples of the list lag and a fixed margin. A new leader would take them for orphaned
+// instances.
+constexpr int kConfirmedReturnListLags = 3;
+constexpr auto kConfirmedReturnMargin = 60s;
 
 }  // namespace
 
@@ -27,53 +29,52 @@
       authority_(authority),
       operation_log_(std::move(operation_log)) {}
 
-void OperationRunner::start(Events events, std::function<void()> loaded) {
+void OperationRunner::start(Events events, std::function<void()> on_recovered) {
   events_ = std::move(events);
-  operation_log_->load([self = weak_from_this(),
-                        loaded = std::move(loaded)](const std::vector<Operation>& operations) {
-    const auto o = self.lock();
-    if (!o || o->stopped_) return;
-    o->on_loaded(operations);
-    loaded();
-  });
+  operation_log_->load(
+      while_running([on_recovered = std::move(on_recovered)](
+                        OperationRunner& self, const std::vector<Operation>& operations) {
+        self.on_log_loaded(operations);
+        on_recovered();
+      }));
 }
 
-void OperationRunner::on_loaded(const std::vector<Operation>& operations) {
-  loaded_ = true;
-  for (const auto& operation : operations) adopt(operation);
+void OperationRunner::on_log_loaded(const std::vector<Operation>& operations) {
+  recovered_ = true;
+  for (const auto& operation : operations) recover(operation);
 }
 
-// An operation of an earlier holder.
-void OperationRunner::adopt(const Operation& o) {
-  if (o.kind == OperationKind::Return) events_.found_return(o);
-  if (o.state == OperationState::Pending) {
-    log_event("resumed", o);
-    open_[o.name] = o;
-    inherited_.insert(o.name);
-    unanswered_.insert(o.name);
-    send(o.name, false);
-  } else if (o.state == OperationState::Granted) {
-    events_.granted(o);
-    keep_granted(o);
-  } else if (o.state == OperationState::Confirmed) {
-    events_.returned(o);
-    remove_later(o.name);
-  } else if (is_over(o.state)) {
-    operation_log_->remove(o.name);
+// Resumes an operation of an earlier leader, or reports its result.
+void OperationRunner::recover(const Operation& operation) {
+  if (operation.kind == OperationKind::Return) events_.on_inherited_return(operation);
+  if (operation.state == OperationState::Pending) {
+    log_event("resumed", operation);
+    pending_[operation.name] = operation;
+    inherited_.insert(operation.name);
+    maybe_executed_.insert(operation.name);
+    send(operation.name, CallBudget::NotTaken);
+  } else if (operation.state == OperationState::Granted) {
+    events_.on_granted(operation);
+    track_granted_machines(operation);
+  } else if (operation.state == OperationState::Confirmed) {
+    events_.on_returned(operation);
+    remove_later(operation.name);
+  } else if (is_final(operation.state)) {
+    operation_log_->remove(operation.name);
   }
 }
 
 bool OperationRunner::may_begin() const {
-  return loaded_ && inherited_.empty() && authority_.lease_valid() && !authority_.paused() &&
+  return recovered_ && inherited_.empty() && authority_.lease_valid() && !authority_.paused() &&
          operation_log_->has_room();
 }
 
-bool OperationRunner::returning() const {
-  return std::any_of(open_.begin(), open_.end(),
-                     [](const auto& o) { return o.second.kind == OperationKind::Return; });
+bool OperationRunner::has_pending_return() const {
+  return std::any_of(pending_.begin(), pending_.end(),
+                     [](const auto& entry) { return entry.second.kind == OperationKind::Return; });
 }
 
-// Names carry the token and a counter: never used again, not even by another node.
+// The fencing token and a counter make the name unique over all nodes.
 std::string OperationRunner::next_name(char prefix) {
   return std::string(1, prefix) + "-" + std::to_string(authority_.token()) + "-" +
          std::to_string(++begun_);
@@ -87,7 +88,7 @@
   begin(std::move(operation));
 }
 
-void OperationRunner::give_back(const Returns& returns) {
+void OperationRunner::return_machines(const Returns& returns) {
   Operation operation;
   operation.name = next_name('d');
   operation.kind = OperationKind::Return;
@@ -100,32 +101,33 @@
   operation.token = authority_.token();
   operation.holder = settings_.node;
   operation.begun = runtime_.wall();
-  open_[operation.name] = operation;
+  pending_[operation.name] = operation;
   log_event("begun", operation);
-  operation_log_->begin(operation, [self = weak_from_this(), name = operation.name](bool durable) {
-    const auto o = self.lock();
-    if (!o || o->stopped_) return;
-    if (durable) {
-      o->send(name, true);
-      return;
-    }
-    const Operation dropped = o->finish(name, OperationState::Withdrawn);
-    if (dropped.kind == OperationKind::Rent) o->events_.refused(dropped);
-  });
+  operation_log_->append(operation, while_running([name = operation.name](OperationRunner& self,
+                                                                          AppendOutcome outcome) {
+                           self.on_appended(name, outcome);
+                         }));
 }
 
-// `counted`: whether the call has been taken from the cloud's limit.
-void OperationRunner::send(const std::string& name, bool counted) {
-  const auto it = open_.find(name);
-  if (it == open_.end()) return;
-  // A holder that has been replaced orders nothing. That it may still believe to be in charge, or
-  // that the packet leaves late, does no harm: the order stands in the operation log, and its
-  // successor completes it under the same name.
-  if (!authority_.lease_valid() || (!counted && !cloud_.may_call())) {
-    send_later(name, kSendAgain);
+void OperationRunner::on_appended(const std::string& name, AppendOutcome outcome) {
+  if (outcome == AppendOutcome::Durable) {
+    send(name, CallBudget::Taken);
     return;
   }
-  if (!counted) cloud_.count_call();
+  const Operation dropped = complete(name, OperationState::Withdrawn);
+  if (dropped.kind == OperationKind::Rent) events_.on_not_granted(dropped);
+}
+
+void OperationRunner::send(const std::string& name, CallBudget budget) {
+  const auto it = pending_.find(name);
+  if (it == pending_.end()) return;
+  // A replaced leader sends no requests. If it does not know yet, or its packet arrives late, the
+  // request does no harm: the operation log has it, and the successor repeats it under this name.
+  if (!authority_.lease_valid() || (budget == CallBudget::NotTaken && !cloud_.may_call())) {
+    send_later(name, kSendRetryDelay);
+    return;
+  }
+  if (budget == CallBudget::NotTaken) cloud_.count_call();
   log_event("sent", it->second);
   if (it->second.kind == OperationKind::Rent) {
     send_rental(it->second);
@@ -135,134 +137,131 @@
 }
 
 void OperationRunner::send_later(const std::string& name, Duration delay) {
-  runtime_.after(delay, [self = weak_from_this(), name] {
-    if (const auto o = self.lock(); o && !o->stopped_) o->send(name, false);
-  });
+  runtime_.after(delay, while_running([name](OperationRunner& self) {
+                   self.send(name, CallBudget::NotTaken);
+                 }));
 }
 
 void OperationRunner::send_rental(const Operation& operation) {
   const Rental& rental = operation.rental;
   wire::RentalRequest request{operation.name, rental.type, rental.zone, rental.spot, rental.count};
   if (authority_.offers_token()) request.token = authority_.token();
-  cloud_.rent(request, [self = weak_from_this(),
-                        name = operation.name](const cloud::Cloud::RentResult& result) {
-    const auto o = self.lock();
-    if (o && !o->stopped_ && o->open_.count(name) != 0) o->rental_answered(name, result);
-  });
+  cloud_.rent_machines(
+      request, while_running([name = operation.name](OperationRunner& self,
+                                                     const cloud::Cloud::RentResult& result) {
+        if (self.pending_.count(name) != 0) self.on_rental_answer(name, result);
+      }));
 }
 
-void OperationRunner::rental_answered(const std::string& name,
-                                      const cloud::Cloud::RentResult& result) {
+void OperationRunner::on_rental_answer(const std::string& name,
+                                       const cloud::Cloud::RentResult& result) {
   using Outcome = cloud::Cloud::RentResult::Outcome;
   switch (result.outcome) {
-    case Outcome::Rented: {
-      open_.at(name).machines = result.machines;
-      const Operation granted = finish(name, OperationState::Granted);
-      operation_log_->update(granted);
-      events_.granted(granted);
-      keep_granted(granted);
+    case Outcome::Rented:
+      grant(name, result.machines);
       break;
-    }
-    case Outcome::NoCapacity: {
-      const Operation refused = finish(name, OperationState::Refused);
-      operation_log_->remove(name);
-      events_.refused(refused);
+    case Outcome::NoCapacity:
+      refuse(name);
       break;
-    }
-    case Outcome::Refused:
-      withdraw_or_repeat(name);
+    case Outcome::NotExecuted:
+      withdraw_or_retry(name);
       break;
     case Outcome::Unknown:
-      // It may have been carried out: asked again under its name, until it is known.
-      unanswered_.insert(name);
-      send_later(name, kRepeatRental);
+      maybe_executed_.insert(name);
+      send_later(name, kRentalRetryDelay);
       break;
   }
 }
 
-// The cloud was over its limit, or in trouble: surely not carried out this time.
-void OperationRunner::withdraw_or_repeat(const std::string& name) {
-  if (unanswered_.count(name) != 0) {
-    send_later(name, kRepeatRental);
+void OperationRunner::grant(const std::string& name, const std::vector<std::string>& machines) {
+  pending_.at(name).machines = machines;
+  const Operation granted = complete(name, OperationState::Granted);
+  operation_log_->update(granted);
+  events_.on_granted(granted);
+  track_granted_machines(granted);
+}
+
+void OperationRunner::refuse(const std::string& name) {
+  const Operation refused = complete(name, OperationState::Refused);
+  operation_log_->remove(name);
+  events_.on_not_granted(refused);
+}
+
+// The cloud has not executed the latest request. If it cannot have executed an earlier one either,
+// the rental is withdrawn, so that the autoscaler decides anew.
+void OperationRunner::withdraw_or_retry(const std::string& name) {
+  if (maybe_executed_.count(name) != 0) {
+    send_later(name, kRentalRetryDelay);
     return;
   }
-  const Operation withdrawn = finish(name, OperationState::Withdrawn);
+  const Operation withdrawn = complete(name, OperationState::Withdrawn);
   operation_log_->remove(name);
-  events_.refused(withdrawn);
+  events_.on_not_granted(withdrawn);
 }
 
 void OperationRunner::send_return(const Operation& operation) {
-  wire::ReturnOrder order;
-  for (const auto& [machine, reason] : operation.returns) order.machines.push_back(machine);
+  wire::ReturnOrder request;
+  for (const auto& [machine, reason] : operation.returns) request.machines.push_back(machine);
   if (authority_.offers_token()) {
-    order.request = operation.name;
-    order.token = authority_.token();
+    request.request = operation.name;
+    request.token = authority_.token();
   }
-  cloud_.give_back(
-      order, [self = weak_from_this(), name = operation.name](cloud::Cloud::ReturnOutcome outcome) {
-        const auto o = self.lock();
-        if (o && !o->stopped_ && o->open_.count(name) != 0) o->return_answered(name, outcome);
-      });
+  cloud_.return_machines(
+      request, while_running([name = operation.name](OperationRunner& self,
+                                                     cloud::Cloud::ReturnOutcome outcome) {
+        if (self.pending_.count(name) != 0) self.on_return_answer(name, outcome);
+      }));
 }
 
-void OperationRunner::return_answered(const std::string& name,
-                                      cloud::Cloud::ReturnOutcome outcome) {
+void OperationRunner::on_return_answer(const std::string& name,
+                                       cloud::Cloud::ReturnOutcome outcome) {
   if (outcome != cloud::Cloud::ReturnOutcome::Gone) {
-    send_later(name, kRepeatReturn);
+    send_later(name, kReturnRetryDelay);
     return;
   }
-  const Operation confirmed = finish(name, OperationState::Confirmed);
+  const Operation confirmed = complete(name, OperationState::Confirmed);
   operation_log_->update(confirmed);
   remove_later(name);
-  events_.returned(confirmed);
+  events_.on_returned(confirmed);
 }
 
-// It is answered, and open no more.
-Operation OperationRunner::finish(const std::string& name, OperationState state) {
-  const auto it = open_.find(name);
+// Takes the operation off the Pending ones and returns it in its new state.
+Operation OperationRunner::complete(const std::string& name, OperationState state) {
+  const auto it = pending_.find(name);
   Operation out = std::move(it->second);
   out.state = state;
-  open_.erase(it);
+  pending_.erase(it);
   inherited_.erase(name);
-  unanswered_.erase(name);
-  log_event(word(state), out);
+  maybe_executed_.erase(name);
+  log_event(to_string(state), out);
   return out;
 }
 
-void OperationRunner::keep_granted(const Operation& operation) {
-  for (const auto& machine : operation.machines) unsettled_[machine] = operation.name;
+void OperationRunner::track_granted_machines(const Operation& operation) {
+  for (const auto& machine : operation.machines) unresolved_[machine] = operation.name;
   if (operation.machines.empty()) operation_log_->remove(operation.name);
 }
 
-void OperationRunner::settle(const std::string& machine) {
-  const auto it = unsettled_.find(machine);
-  if (it == unsettled_.end()) return;
+void OperationRunner::resolve_machine(const std::string& machine) {
+  const auto it = unresolved_.find(machine);
+  if (it == unresolved_.end()) return;
   const std::string name = std::move(it->second);
-  unsettled_.erase(it);
-  const bool others = std::any_of(unsettled_.begin(), unsettled_.end(),
-                                  [&](const auto& u) { return u.second == name; });
-  if (!others) operation_log_->remove(name);
+  unresolved_.erase(it);
+  const bool others_left =
+      std::any_of(unresolved_.begin(), unresolved_.end(),
+                  [&](const auto& unresolved) { return unresolved.second == name; });
+  if (!others_left) operation_log_->remove(name);
 }
 
 void OperationRunner::remove_later(const std::string& name) {
-  runtime_.after(settings_.list_lag * kListLags + kKeptReturn, [self = weak_from_this(), name] {
-    if (const auto o = self.lock(); o && !o->stopped_) o->operation_log_->remove(name);
-  });
+  const auto delay = settings_.list_lag * kConfirmedReturnListLags + kConfirmedReturnMargin;
+  runtime_.after(
+      delay, while_running([name](OperationRunner& self) { self.operation_log_->remove(name); }));
 }
 
-// Operators trace who did what by these lines: see docs/operations/provisioning.md.
-void OperationRunner::log_event(std::string_view event, const Operation& o) {
-  if (o.kind == OperationKind::Rent) {
-    log::info("operation {} {}: rent {} of {} {} in {}, granted {}", o.name, event, o.rental.count,
-              o.rental.spot ? "spot" : "ordinary", o.rental.type, o.rental.zone, o.machines.size());
-    return;
-  }
-  std::string machines;
-  for (const auto& [machine, reason] : o.returns) {
-    machines += machines.empty() ? "" : ", ";
-    machines += machine + " (" + std::string(word(reason)) + ")";
-  }
-  log::info("operation {} {}: return {}", o.name, event, machines);
+// Administrators trace operations by these lines, see docs/operations/provisioning.md.
+void OperationRunner::log_event(std::string_view event, const Operation& operation) {
+  log::info("operation {} {}: {}", operation.name, event, describe(operation));
 }
 
 }  // namespace asterstair::provisioning
--- a/src/provisioning/operation_runner.hpp
+++ b/src/provisioning/operation_runner.hpp
@@ -1,7 +1,7 @@
 #pragma once
-// Rents and returns machines for one term of leadership: each operation is made durable before the
-// cloud is asked, asked for under its name until it is answered, and its result made durable after.
-// What an earlier holder left open is completed first; nothing new is begun before that.
+/// \file
+/// Executes operations on machines for one term of leadership. Created by ProvisioningController,
+/// driven by the autoscaler.
 
 #include <functional>
 #include <map>
@@ -11,6 +11,7 @@
 
 #include "base/runtime.hpp"
 #include "base/settings.hpp"
+#include "base/stoppable.hpp"
 #include "cloud/cloud.hpp"
 #include "provisioning/fencing_authority.hpp"
 #include "provisioning/operation.hpp"
@@ -18,52 +19,71 @@
 
 namespace asterstair::provisioning {
 
-class OperationRunner : public std::enable_shared_from_this<OperationRunner> {
+/// Appends each operation to the operation log, repeats its request to the cloud under the same
+/// name until the cloud answers, and stores the result. Operations that earlier leaders left
+/// Pending are completed first; no other operation begins before.
+class OperationRunner : public Stoppable<OperationRunner> {
  public:
-  // What the term is told of. Operations of earlier holders are told of like its own.
+  /// Callbacks to the autoscaler. They report operations of earlier leaders like those of this
+  /// term.
   struct Events {
-    // Machines that are being, or were, returned by earlier holders: no work for them.
-    std::function<void(const Operation&)> found_return;
-    std::function<void(const Operation&)> granted;
-    std::function<void(const Operation&)> refused;
-    std::function<void(const Operation&)> returned;
+    /// An earlier leader is returning, or has returned, these machines: they get no work.
+    std::function<void(const Operation&)> on_inherited_return;
+    /// A rental has state Granted.
+    std::function<void(const Operation&)> on_granted;
+    /// A rental has state Refused or Withdrawn.
+    std::function<void(const Operation&)> on_not_granted;
+    /// A return has state Confirmed.
+    std::function<void(const Operation&)> on_returned;
   };
 
   OperationRunner(Runtime& runtime, cloud::Cloud& cloud, const Settings& settings,
                   const FencingAuthority& authority, std::shared_ptr<OperationLog> operation_log);
-  // Reads the operation log, and completes what is open. `loaded` is called once all open returns
-  // have been told of.
-  void start(Events events, std::function<void()> loaded);
-  void stop() { stopped_ = true; }
 
-  // Whether an operation may be begun now.
+  /// Reads the operation log and resumes Pending operations. `on_recovered` is called once every
+  /// return in the log has been reported.
+  void start(Events events, std::function<void()> on_recovered);
+
+  /// Whether an operation may begin now.
   bool may_begin() const;
-  // Each uses a call of the cloud's limit, which the caller has seen to be free.
+  /// Begins a rental. Uses one call of the cloud's rate limit; the caller has checked that there is
+  /// one, see cloud::Cloud::may_call().
   void rent(const Rental& rental);
-  void give_back(const Returns& returns);
+  /// Begins a return, with the same use of the rate limit.
+  void return_machines(const Returns& returns);
 
-  // Operations that the cloud has not answered yet.
-  const std::map<std::string, Operation>& open() const { return open_; }
-  bool returning() const;
-  // Granted machines that are neither on the machine registry nor known to be gone.
-  const std::map<std::string, std::string>& unsettled() const { return unsettled_; }
-  // The machine is on the machine registry, or gone: the operation log need not name it any more.
-  void settle(const std::string& machine);
+  /// Operations without a result, by name.
+  const std::map<std::string, Operation>& pending_operations() const { return pending_; }
+  /// Whether a return is without a result.
+  bool has_pending_return() const;
+  /// Granted machines that are neither in the machine registry nor known to be gone, each with the
+  /// name of its operation. The operation log names them until then, so that the next leader learns
+  /// of them.
+  const std::map<std::string, std::string>& unresolved_machines() const { return unresolved_; }
+  /// Tells that the machine is in the machine registry or gone. Removes the operation's record once
+  /// all of its machines are resolved.
+  void resolve_machine(const std::string& machine);
 
  private:
-  void on_loaded(const std::vector<Operation>& operations);
-  void adopt(const Operation& operation);
+  /// Whether a request's call has been taken from the cloud's rate limit already.
+  enum class CallBudget { Taken, NotTaken };
+
+  void on_log_loaded(const std::vector<Operation>& operations);
+  void recover(const Operation& operation);
   void begin(Operation operation);
+  void on_appended(const std::string& name, AppendOutcome outcome);
   std::string next_name(char prefix);
-  void send(const std::string& name, bool counted);
+  void send(const std::string& name, CallBudget budget);
   void send_later(const std::string& name, Duration delay);
   void send_rental(const Operation& operation);
   void send_return(const Operation& operation);
-  void rental_answered(const std::string& name, const cloud::Cloud::RentResult& result);
-  void return_answered(const std::string& name, cloud::Cloud::ReturnOutcome outcome);
-  void withdraw_or_repeat(const std::string& name);
-  Operation finish(const std::string& name, OperationState state);
-  void keep_granted(const Operation& operation);
+  void on_rental_answer(const std::string& name, const cloud::Cloud::RentResult& result);
+  void on_return_answer(const std::string& name, cloud::Cloud::ReturnOutcome outcome);
+  void grant(const std::string& name, const std::vector<std::string>& machines);
+  void refuse(const std::string& name);
+  void withdraw_or_retry(const std::string& name);
+  Operation complete(const std::string& name, OperationState state);
+  void track_granted_machines(const Operation& operation);
   void remove_later(const std::string& name);
   static void log_event(std::string_view event, const Operation& operation);
 
@@ -73,12 +93,12 @@
   const FencingAuthority& authority_;
   std::shared_ptr<OperationLog> operation_log_;
   Events events_;
-  bool stopped_ = false, loaded_ = false;
-  std::uint64_t begun_ = 0;
-  std::map<std::string, Operation> open_;
-  std::set<std::string> inherited_;   // open ones that an earlier holder began
-  std::set<std::string> unanswered_;  // a try of these got no answer: it may be carried out late
-  std::map<std::string, std::string> unsettled_;  // operation by machine
+  bool recovered_ = false;   ///< the operation log has been read
+  std::uint64_t begun_ = 0;  ///< operations of this term, for their names
+  std::map<std::string, Operation> pending_;
+  std::set<std::string> inherited_;       ///< Pending ones that earlier leaders began
+  std::set<std::string> maybe_executed_;  ///< Pending rentals of which a request was not answered
+  std::map<std::string, std::string> unresolved_;
 };
 
 }  // namespace asterstair::provisioning
--- a/src/provisioning/provisioning_controller.hpp
+++ b/src/provisioning/provisioning_controller.hpp
@@ -1,6 +1,6 @@
 #pragma once
-// Which node deals with the cloud's machines: the leader, under a lease of its own. A node
-// campaigns for the lease while it leads, and gives it up with its leadership.
+/// \file
+/// Decides which node provisions machines: the leader, under a lease of its own. Owned by Node.
 
 #include <functional>
 #include <memory>
@@ -11,54 +11,56 @@
 #include "cloud/cloud.hpp"
 #include "leader/election.hpp"
 #include "lease/lease.hpp"
+#include "provisioning/admin_control.hpp"
 #include "provisioning/fencing_authority.hpp"
 #include "provisioning/operation_runner.hpp"
+#include "provisioning/orphan_publisher.hpp"
 #include "provisioning/records.hpp"
 #include "provisioning/stored_operation_log.hpp"
 #include "store/store.hpp"
 
 namespace asterstair::provisioning {
 
+/// Campaigns for the provisioning lease while this node leads, and makes the operation runner of
+/// each term.
 class ProvisioningController : public FencingAuthority {
  public:
-  // `recorded`: whether the provisioning lease has a lease and a operation log; if not, whoever
-  // leads holds it, and no record is kept. `hand_over` is called when an operator asks for it.
+  /// `durable` selects a lease and an operation log of their own. Without it the leader provisions
+  /// under the leader lease, and nothing is stored. `hand_over` is called when an administrator
+  /// requests that another node takes over.
   ProvisioningController(Runtime& runtime, store::Store& store, cloud::Cloud& cloud,
-                         const Settings& settings, const leader::Election& election, bool recorded,
+                         const Settings& settings, const leader::Election& election, bool durable,
                          std::function<void()> hand_over);
 
-  // The operations of the term that begins; started by the caller.
+  /// Begins a term of leadership. Returns its operations, which the caller starts.
   std::shared_ptr<OperationRunner> begin_term();
+  /// Ends the term: stops its operations and gives the lease up. Harmless without a term.
   void end_term();
 
-  // For operators to look at; written when it has changed.
+  /// Publishes the orphaned instances for administrators, if provisioning is durable.
   void publish_orphans(const std::vector<OrphanedInstance>& orphans);
 
   bool lease_valid() const override;
-  bool paused() const override { return control_.paused; }
+  bool paused() const override { return admin_control_ && admin_control_->paused(); }
   std::uint64_t token() const override { return lease_ ? lease_->token() : election_.token(); }
   bool offers_token() const override { return lease_.has_value(); }
   std::vector<wire::Condition> guards() const override;
   void renew_token() override;
 
  private:
-  void acquired(std::uint64_t token);
-  void poll_control(std::uint64_t token);
-  void read_control(const store::ReadResult& result);
+  void on_lease_acquired(std::uint64_t token);
+  std::shared_ptr<OperationLog> make_operation_log();
 
   Runtime& runtime_;
   store::Store& store_;
   cloud::Cloud& cloud_;
   const Settings& settings_;
   const leader::Election& election_;
-  std::function<void()> hand_over_;
-  std::optional<lease::Lease>
-      lease_;  // none: the provisioning lease is the leader's, without records
-  std::shared_ptr<StoredOperationLog> operation_log_;
-  std::shared_ptr<OperationRunner> operations_;
-  Control control_;
-  bool bad_control_told_ = false;
-  std::vector<OrphanedInstance> shown_orphans_;
+  std::optional<lease::Lease> lease_;          ///< only if provisioning is durable
+  std::optional<AdminControl> admin_control_;  ///< the same
+  OrphanPublisher orphan_publisher_;
+  std::shared_ptr<StoredOperationLog> stored_log_;  ///< of this term, if provisioning is durable
+  std::shared_ptr<OperationRunner> operations_;     ///< of this term
 };
 
 }  // namespace asterstair::provisioning
--- a/src/provisioning/records.cpp
+++ b/src/provisioning/records.cpp
@@ -1,7 +1,6 @@
 #include "provisioning/records.hpp"
 
-#include <array>
-
+#include "provisioning/name_table.hpp"
 #include "store/records.hpp"
 #include "wire/cloud.hpp"
 
@@ -11,36 +10,45 @@
 using wire::DecodeError;
 using wire::Json;
 
-constexpr std::array<std::pair<OrphanedInstance::State, std::string_view>, 5> kOrphanStates{
+constexpr NameTable<OrphanedInstance::State, 5> kOrphanStateNames{
     {{OrphanedInstance::State::Waiting, "waiting"},
      {OrphanedInstance::State::InUse, "in use"},
      {OrphanedInstance::State::Returned, "returned"},
      {OrphanedInstance::State::Vanished, "vanished"},
      {OrphanedInstance::State::NeverAppeared, "never appeared"}}};
 
+std::optional<OrphanedInstance::State> parse_orphan_state(std::string_view name) {
+  return value_of(kOrphanStateNames, name);
+}
+
+void require_object(const Json& value) {
+  if (!value.is_object()) throw DecodeError("an object is needed");
+}
+
 std::uint64_t to_ms(WallTime time) {
   const auto ms = std::chrono::duration_cast<milliseconds>(time.time_since_epoch()).count();
   return ms < 0 ? 0 : static_cast<std::uint64_t>(ms);
 }
 
-// Beyond any time that is meant, and within what WallTime holds.
+// Milliseconds since 1970: some 280 years. WallTime holds it without overflow.
 constexpr std::uint64_t kLatestMs = 1ULL << 43U;
 
-WallTime time_of(const Json& object, const char* key) {
+WallTime decode_time(const Json& object, const char* key) {
   const auto ms = wire::integer(object, key);
   if (ms > kLatestMs) throw DecodeError(std::string(key) + " is out of range");
   return WallTime(milliseconds(ms));
 }
 
+// Decodes a field whose values are names, by the look-up that `parse` makes.
 template <typename Parse>
-auto known(Parse parse, const Json& object, const char* key) {
-  const auto& word = wire::text(object, key);
-  const auto value = parse(word);
-  if (!value) throw DecodeError(std::string(key) + " is unknown: " + word);
+auto decode_name(Parse parse, const Json& object, const char* key) {
+  const auto& name = wire::text(object, key);
+  const auto value = parse(name);
+  if (!value) throw DecodeError(std::string(key) + " is unknown: " + name);
   return *value;
 }
 
-std::string non_empty(const Json& value) {
+std::string decode_machine(const Json& value) {
   if (!value.is_string() || value.get_ref<const std::string&>().empty()) {
     throw DecodeError("a machine's name is needed");
   }
@@ -66,7 +74,7 @@
   Returns out;
   for (const auto& [machine, reason] : machines.items()) {
     if (machine.empty()) throw DecodeError("a machine's name is needed");
-    out[machine] = known(reason_of, machines, machine.c_str());
+    out[machine] = decode_name(parse_return_reason, machines, machine.c_str());
   }
   return out;
 }
@@ -75,40 +83,46 @@
 
 std::string operation_key(const std::string& name) { return kOperationPrefix + name; }
 
-Json encode_operation(const Operation& o) {
-  Json out = {{"form", store::kRecordForm}, {"kind", word(o.kind)}, {"state", word(o.state)},
-              {"token", o.token},           {"holder", o.holder},   {"begun", to_ms(o.begun)}};
-  if (o.kind == OperationKind::Rent) {
-    out["type"] = o.rental.type;
-    out["zone"] = o.rental.zone;
-    out["spot"] = o.rental.spot;
-    out["count"] = o.rental.count;
-    if (o.state == OperationState::Granted) out["machines"] = o.machines;
+std::string operation_name(const std::string& key) {
+  return key.substr(std::string_view(kOperationPrefix).size());
+}
+
+Json encode_operation(const Operation& operation) {
+  Json out = {{"form", store::kRecordForm},          {"kind", to_string(operation.kind)},
+              {"state", to_string(operation.state)}, {"token", operation.token},
+              {"holder", operation.holder},          {"begun", to_ms(operation.begun)}};
+  if (operation.kind == OperationKind::Rent) {
+    out["type"] = operation.rental.type;
+    out["zone"] = operation.rental.zone;
+    out["spot"] = operation.rental.spot;
+    out["count"] = operation.rental.count;
+    if (operation.state == OperationState::Granted) out["machines"] = operation.machines;
   } else {
     Json machines = Json::object();
-    for (const auto& [machine, reason] : o.returns) machines[machine] = word(reason);
+    for (const auto& [machine, reason] : operation.returns) machines[machine] = to_string(reason);
     out["machines"] = std::move(machines);
   }
   return out;
 }
 
 Operation decode_operation(const std::string& key, const Json& value) {
-  if (!value.is_object()) throw DecodeError("an object is needed");
+  require_object(value);
   store::require_known_form(value);
-  const std::string_view prefix = kOperationPrefix;
-  if (!key.starts_with(prefix) || key.size() == prefix.size()) throw DecodeError("no name");
+  if (!key.starts_with(kOperationPrefix) || operation_name(key).empty()) {
+    throw DecodeError("no name");
+  }
   Operation out;
-  out.name = key.substr(prefix.size());
-  out.kind = known(kind_of, value, "kind");
-  out.state = known(state_of, value, "state");
+  out.name = operation_name(key);
+  out.kind = decode_name(parse_operation_kind, value, "kind");
+  out.state = decode_name(parse_operation_state, value, "state");
   const bool of_any_kind =
       out.state == OperationState::Pending || out.state == OperationState::Settled;
-  if (!of_any_kind && !is_legal(out.kind, OperationState::Pending, out.state)) {
+  if (!of_any_kind && !is_valid_transition(out.kind, OperationState::Pending, out.state)) {
     throw DecodeError("state is not one of this kind");
   }
   out.token = wire::integer(value, "token");
   out.holder = wire::text(value, "holder");
-  out.begun = time_of(value, "begun");
+  out.begun = decode_time(value, "begun");
   if (out.kind == OperationKind::Return) {
     out.returns = decode_returns(value);
     return out;
@@ -116,54 +130,48 @@
   out.rental = decode_rental(value);
   if (out.state == OperationState::Granted) {
     for (const auto& machine : wire::list(value, "machines")) {
-      out.machines.push_back(non_empty(machine));
+      out.machines.push_back(decode_machine(machine));
     }
   }
   return out;
 }
 
-Json encode_control(const Control& c) {
-  return {{"form", store::kRecordForm}, {"paused", c.paused}, {"hand over from", c.hand_over_from}};
+Json encode_control(const ControlRecord& control) {
+  return {{"form", store::kRecordForm},
+          {"paused", control.paused},
+          {"hand over from", control.hand_over_from}};
 }
 
-Control decode_control(const Json& value) {
-  if (!value.is_object()) throw DecodeError("an object is needed");
+ControlRecord decode_control(const Json& value) {
+  require_object(value);
   store::require_known_form(value);
-  Control out;
+  ControlRecord out;
   out.paused = wire::flag(value, "paused");
   out.hand_over_from = wire::integer(value, "hand over from");
   return out;
 }
 
-std::string_view word(OrphanedInstance::State state) {
-  for (const auto& [each, word] : kOrphanStates) {
-    if (each == state) return word;
-  }
-  return "";
+std::string_view to_string(OrphanedInstance::State state) {
+  return name_of(kOrphanStateNames, state);
 }
 
 Json encode_orphans(const std::vector<OrphanedInstance>& orphans) {
   Json list = Json::array();
-  for (const auto& o : orphans) {
-    list.push_back({{"machine", o.machine}, {"state", word(o.state)}, {"since", to_ms(o.since)}});
+  for (const auto& orphan : orphans) {
+    list.push_back({{"machine", orphan.machine},
+                    {"state", to_string(orphan.state)},
+                    {"since", to_ms(orphan.since)}});
   }
   return {{"form", store::kRecordForm}, {"orphans", std::move(list)}};
 }
 
 std::vector<OrphanedInstance> decode_orphans(const Json& value) {
-  if (!value.is_object()) throw DecodeError("an object is needed");
+  require_object(value);
   store::require_known_form(value);
   std::vector<OrphanedInstance> out;
   for (const auto& item : wire::list(value, "orphans")) {
-    const auto parse = [](std::string_view text) {
-      std::optional<OrphanedInstance::State> state;
-      for (const auto& [each, word] : kOrphanStates) {
-        if (word == text) state = each;
-      }
-      return state;
-    };
-    out.push_back(
-        {wire::text(item, "machine"), known(parse, item, "state"), time_of(item, "since")});
+    out.push_back({wire::text(item, "machine"), decode_name(parse_orphan_state, item, "state"),
+                   decode_time(item, "since")});
   }
   return out;
 }
--- a/src/provisioning/records.hpp
+++ b/src/provisioning/records.hpp
@@ -1,12 +1,13 @@
 #pragma once
-// The form of the provisioning lease's records in the state service:
-//
-//   duty/machines             the lease: who holds the provisioning lease; its version is the
-//   fencing token operation log/machines/<name>    an operation orphans/machines          machines
-//   that nobody accounts for, for operators control/machines          what an operator has asked
-//   for: pause, handing over
-//
-// A record that cannot be read, or is of a newer form, throws wire::DecodeError.
+/// \file
+/// Encoding of the provisioning records in the state service:
+///
+///   duty/machines             the provisioning lease; the key's version is the fencing token
+///   ledger/machines/<name>    one operation of the operation log
+///   orphans/machines          orphaned instances, for administrators
+///   control/machines          what an administrator has requested: pause, handover
+///
+/// Decoding throws wire::DecodeError if a record is malformed or of a newer form.
 
 #include <string>
 #include <vector>
@@ -21,31 +22,40 @@
 inline constexpr const char* kOrphansKey = "orphans/machines";
 inline constexpr const char* kControlKey = "control/machines";
 
+/// Returns the key of the operation's record.
 std::string operation_key(const std::string& name);
+/// Returns the operation's name: the part of the key after kOperationPrefix.
+std::string operation_name(const std::string& key);
 
 wire::Json encode_operation(const Operation& operation);
-// The name is the part of the key behind kOperationPrefix.
+/// Decodes a record; the operation's name comes from the key.
 Operation decode_operation(const std::string& key, const wire::Json& value);
 
-// What an operator has asked for.
-struct Control {
-  bool paused = false;  // nothing new is begun; open operations are completed
-  std::uint64_t hand_over_from =
-      0;  // the holder of this token gives the provisioning lease to another node
+/// What an administrator has requested. Written by AdminCommands, read by AdminControl.
+struct ControlRecord {
+  bool paused = false;  ///< no operation begins; Pending ones are completed
+  /// The holder of this fencing token gives the provisioning lease to another node; 0: none.
+  std::uint64_t hand_over_from = 0;
 };
-wire::Json encode_control(const Control& control);
-Control decode_control(const wire::Json& value);
+wire::Json encode_control(const ControlRecord& control);
+ControlRecord decode_control(const wire::Json& value);
 
-// A machine that is listed but neither in the operation log nor in the fleet, or granted and never
-// listed.
+/// A machine that the cloud lists but neither the operation log nor the leader knows, or one that
+/// was granted and never listed.
 struct OrphanedInstance {
-  enum class State { Waiting, InUse, Returned, Vanished, NeverAppeared };
-  std::string machine;
-  State state = State::Waiting;
-  WallTime since{};
+  enum class State {
+    Waiting,       ///< listed, and no heartbeat has come yet
+    InUse,         ///< its worker sends heartbeats
+    Returned,      ///< returned to the cloud
+    Vanished,      ///< listed once, and no longer
+    NeverAppeared  ///< granted, and never listed
+  };
+  std::string machine;           ///< the machine's id
+  State state = State::Waiting;  ///< what has become of it
+  WallTime since{};              ///< when the leader first noticed it
   bool operator==(const OrphanedInstance&) const = default;
 };
-std::string_view word(OrphanedInstance::State state);
+std::string_view to_string(OrphanedInstance::State state);
 wire::Json encode_orphans(const std::vector<OrphanedInstance>& orphans);
 std::vector<OrphanedInstance> decode_orphans(const wire::Json& value);
 
--- a/src/provisioning/stored_operation_log.cpp
+++ b/src/provisioning/stored_operation_log.cpp
@@ -6,215 +6,225 @@
 namespace asterstair::provisioning {
 namespace {
 
-constexpr auto kRetry = 500ms;
-constexpr auto kSweepEvery = 60s;
-// With more settled records than this a new token is asked for, under which they can be removed.
+// Delay of another attempt after the state service failed to answer or refused.
+constexpr auto kRetryDelay = 500ms;
+constexpr auto kSweepInterval = 60s;
+// With more Settled records than this a new token is requested, under which they can be removed: a
+// quarter of the room.
 constexpr std::ptrdiff_t kMostSettled = kMostRecords / 4;
 
 }  // namespace
 
-// Wraps a callback so that it does nothing once the term is over.
-template <typename Action>
-auto StoredOperationLog::while_running(Action action) {
-  return [self = weak_from_this(), action = std::move(action)](const auto&... answer) {
-    const auto operation_log = self.lock();
-    if (operation_log && !operation_log->stopped_) action(*operation_log, answer...);
-  };
+void StoredOperationLog::load(std::function<void(std::vector<Operation>)> done) {
+  store_.list(kOperationPrefix,
+              while_running([done = std::move(done)](StoredOperationLog& self,
+                                                     const store::ListResult& result) {
+                self.on_listed(result, done);
+              }));
+}
+
+void StoredOperationLog::on_listed(const store::ListResult& result,
+                                   std::function<void(std::vector<Operation>)> done) {
+  if (!result.ok) {
+    runtime_.after(kRetryDelay, while_running([done = std::move(done)](StoredOperationLog& self) {
+                     self.load(done);
+                   }));
+    return;
+  }
+  auto operations = decode(result.items);
+  for (const auto& operation : operations) entries_[operation.name].target = operation;
+  for (const auto& item : result.items) {
+    const auto entry = entries_.find(operation_name(item.key));
+    if (entry != entries_.end()) entry->second.version = item.version;
+  }
+  sweep_later();
+  done(std::move(operations));
 }
 
+// Leaves records that cannot be decoded alone, for an administrator to look at.
 std::vector<Operation> StoredOperationLog::decode(const std::vector<wire::Item>& items) {
   std::vector<Operation> out;
   for (const auto& item : items) {
     try {
       out.push_back(decode_operation(item.key, *item.value));
-    } catch (const wire::DecodeError& e) {
-      // Left alone for an operator to look at: nothing is started for its sake.
+    } catch (const wire::DecodeError& error) {
       if (!quarantined_.insert(item.key).second) continue;
-      log::error("ledger record {} is quarantined: {}", item.key, e.what());
+      log::error("operation record {} is quarantined: {}", item.key, error.what());
     }
   }
   return out;
 }
 
-void StoredOperationLog::load(std::function<void(std::vector<Operation>)> done) {
-  store_.list(
-      kOperationPrefix, while_running([done](StoredOperationLog& self, const store::ListResult& r) {
-        if (!r.ok) {
-          self.runtime_.after(kRetry, self.while_running([done](StoredOperationLog& operation_log) {
-            operation_log.load(done);
-          }));
-          return;
-        }
-        auto operations = self.decode(r.items);
-        for (const auto& o : operations) self.entries_[o.name].wanted = o;
-        for (const auto& item : r.items) {
-          const auto name = item.key.substr(std::string_view(kOperationPrefix).size());
-          const auto entry = self.entries_.find(name);
-          if (entry != self.entries_.end()) entry->second.version = item.version;
-        }
-        self.sweep_later();
-        done(std::move(operations));
-      }));
-}
-
-void StoredOperationLog::begin(const Operation& operation, std::function<void(bool durable)> done) {
+void StoredOperationLog::append(const Operation& operation,
+                                std::function<void(AppendOutcome)> done) {
   Entry& entry = entries_[operation.name];
-  entry.wanted = operation;
-  entry.begun = std::move(done);
+  entry.target = operation;
+  entry.on_appended = std::move(done);
   write(operation.name);
 }
 
 void StoredOperationLog::update(const Operation& operation) {
   const auto it = entries_.find(operation.name);
   if (it == entries_.end()) return;
-  if (!is_legal(operation.kind, it->second.wanted.state, operation.state)) {
-    log::error("operation {} cannot become {}", operation.name, word(operation.state));
+  Entry& entry = it->second;
+  if (!is_valid_transition(operation.kind, entry.target.state, operation.state)) {
+    log::error("operation {} cannot become {}", operation.name, to_string(operation.state));
     return;
   }
-  it->second.wanted = operation;
-  it->second.dirty = true;
+  entry.target = operation;
+  entry.changed = true;
   write(operation.name);
 }
 
 void StoredOperationLog::remove(const std::string& name) {
   const auto it = entries_.find(name);
   if (it == entries_.end()) return;
-  it->second.removing = true;
-  it->second.dirty = true;
+  it->second.remove = true;
+  it->second.changed = true;
   write(name);
 }
 
-// One write of a record is under way at a time: the next one needs the version that it gets.
+// Sends one write of a record at a time: the next one needs the version that this one creates.
 void StoredOperationLog::write(const std::string& name) {
   Entry& entry = entries_.at(name);
-  if (entry.writing) return;
-  entry.writing = true;
-  entry.dirty = false;
+  if (entry.busy) return;
+  entry.busy = true;
+  entry.changed = false;
+  if (entry.remove && entry.append_unknown) entry.target.state = OperationState::Settled;
+  const auto kind = entry.remove && !entry.append_unknown ? WriteKind::Removal : WriteKind::Put;
   wire::Txn txn;
   txn.conditions = authority_.guards();
   txn.conditions.push_back({operation_key(name), entry.version});
-  if (entry.removing && entry.doubtful) entry.wanted.state = OperationState::Settled;
-  const bool removal = entry.removing && !entry.doubtful;
-  if (removal) {
+  if (kind == WriteKind::Removal) {
     txn.changes.push_back({operation_key(name), std::nullopt});
   } else {
-    txn.changes.push_back({operation_key(name), encode_operation(entry.wanted)});
+    txn.changes.push_back({operation_key(name), encode_operation(entry.target)});
   }
-  const auto urgency = entry.begun ? store::Urgency::Order : store::Urgency::Lazy;
+  const auto urgency = entry.on_appended ? store::Urgency::Order : store::Urgency::Lazy;
   store_.write(
       std::move(txn), urgency,
-      while_running([name, removal](StoredOperationLog& self, const store::WriteResult& r) {
-        self.written(name, removal, r);
+      while_running([name, kind](StoredOperationLog& self, const store::WriteResult& result) {
+        self.on_written(name, kind, result);
       }));
 }
 
-void StoredOperationLog::write_later(const std::string& name) {
-  runtime_.after(kRetry, while_running([name](StoredOperationLog& self) {
-                   if (self.entries_.count(name) != 0) self.write(name);
+void StoredOperationLog::retry_later(const std::string& name,
+                                     void (StoredOperationLog::*attempt)(const std::string&)) {
+  runtime_.after(kRetryDelay, while_running([name, attempt](StoredOperationLog& self) {
+                   if (self.entries_.count(name) != 0) (self.*attempt)(name);
                  }));
 }
 
-void StoredOperationLog::written(const std::string& name, bool removal,
-                                 const store::WriteResult& r) {
+void StoredOperationLog::on_written(const std::string& name, WriteKind kind,
+                                    const store::WriteResult& result) {
   const auto it = entries_.find(name);
   if (it == entries_.end()) return;
-  it->second.writing = false;
-  switch (r.outcome) {
+  Entry& entry = it->second;
+  entry.busy = false;
+  switch (result.outcome) {
     case store::WriteOutcome::Committed:
-      committed(name, removal, r.revision);
+      if (kind == WriteKind::Removal) {
+        entries_.erase(it);
+      } else {
+        on_put(name, result.revision);
+      }
       break;
     case store::WriteOutcome::NotDone:
-      not_done(name);
+      on_not_done(name);
       break;
     case store::WriteOutcome::Unknown:
-      if (it->second.begun) it->second.doubtful = true;
+      if (entry.on_appended) entry.append_unknown = true;
       read_back(name);
       break;
     case store::WriteOutcome::Conflict:
-      // An earlier unanswered write was carried out, or the guards do not hold any more.
+      // An earlier unanswered write was executed, or the guards do not hold any more.
       read_back(name);
       break;
   }
 }
 
-void StoredOperationLog::committed(const std::string& name, bool removal, std::uint64_t revision) {
+void StoredOperationLog::on_put(const std::string& name, std::uint64_t version) {
   Entry& entry = entries_.at(name);
-  if (removal) {
-    entries_.erase(name);
-    return;
-  }
-  entry.version = revision;
-  if (entry.wanted.state == OperationState::Settled) entry.settled_under = authority_.token();
-  if (const auto begun = std::exchange(entry.begun, nullptr)) begun(true);
-  // The callback may have recorded a result, or removed the entry.
+  entry.version = version;
+  if (entry.target.state == OperationState::Settled) entry.settled_token = authority_.token();
+  const auto on_appended = std::exchange(entry.on_appended, nullptr);
+  if (on_appended) on_appended(AppendOutcome::Durable);
+  // The callback may have updated or removed the entry.
   const auto it = entries_.find(name);
-  if (it != entries_.end() && it->second.dirty) write(name);
+  if (it != entries_.end() && it->second.changed) write(name);
 }
 
-void StoredOperationLog::not_done(const std::string& name) {
+void StoredOperationLog::on_not_done(const std::string& name) {
   Entry& entry = entries_.at(name);
-  if (!entry.begun || entry.doubtful) {
-    write_later(name);
+  if (!entry.on_appended || entry.append_unknown) {
+    retry_later(name, &StoredOperationLog::write);
     return;
   }
-  const auto begun = std::move(entry.begun);
+  const auto on_appended = std::move(entry.on_appended);
   entries_.erase(name);
-  begun(false);
+  on_appended(AppendOutcome::Dropped);
 }
 
+// Learns what the stored record is after a write with an unknown outcome or a conflict.
 void StoredOperationLog::read_back(const std::string& name) {
-  entries_.at(name).writing = true;
+  entries_.at(name).busy = true;
   store_.get(operation_key(name),
-             while_running([name](StoredOperationLog& self, const store::ReadResult& r) {
-               self.read_back_answer(name, r);
+             while_running([name](StoredOperationLog& self, const store::ReadResult& result) {
+               self.on_read_back(name, result);
              }));
 }
 
-void StoredOperationLog::read_back_answer(const std::string& name, const store::ReadResult& r) {
+void StoredOperationLog::on_read_back(const std::string& name, const store::ReadResult& result) {
   const auto it = entries_.find(name);
   if (it == entries_.end()) return;
-  Entry& entry = it->second;
-  entry.writing = false;
-  if (r.outcome == store::ReadOutcome::Unavailable) {
-    entry.writing = true;
-    runtime_.after(kRetry, while_running([name](StoredOperationLog& self) {
-                     if (self.entries_.count(name) != 0) self.read_back(name);
-                   }));
+  if (result.outcome == store::ReadOutcome::Unavailable) {
+    retry_later(name, &StoredOperationLog::read_back);
     return;
   }
-  if (r.outcome == store::ReadOutcome::Missing) {
-    entry.version = 0;
-    if (!entry.begun) {
-      entries_.erase(name);  // a removal was carried out
-    } else {
-      write_later(name);
-    }
-    return;
+  it->second.busy = false;
+  if (result.outcome == store::ReadOutcome::Missing) {
+    on_missing(name);
+  } else {
+    on_found(name, result.item.version);
   }
-  const bool was_begun_here = entry.begun && entry.version == 0;
-  entry.version = r.item.version;
-  if (was_begun_here) {
-    committed(name, false, r.item.version);
+}
+
+void StoredOperationLog::on_missing(const std::string& name) {
+  Entry& entry = entries_.at(name);
+  entry.version = 0;
+  if (entry.on_appended) {
+    retry_later(name, &StoredOperationLog::write);
   } else {
-    write_later(name);
+    entries_.erase(name);  // the removal was executed
+  }
+}
+
+void StoredOperationLog::on_found(const std::string& name, std::uint64_t version) {
+  Entry& entry = entries_.at(name);
+  const bool was_appended_now = entry.on_appended && entry.version == 0;
+  if (was_appended_now) {
+    on_put(name, version);
+    return;
   }
+  entry.version = version;
+  retry_later(name, &StoredOperationLog::write);
 }
 
 void StoredOperationLog::sweep_later() {
-  runtime_.after(kSweepEvery, while_running([](StoredOperationLog& self) { self.sweep(); }));
+  runtime_.after(kSweepInterval, while_running([](StoredOperationLog& self) { self.sweep(); }));
 }
 
-// Removes settled records whose beginning cannot be carried out any more: its guards name a token
-// that has gone by.
+// Removes Settled records of earlier tokens: a late write of their Pending record fails on its
+// guards, so nothing needs the records any more.
 void StoredOperationLog::sweep() {
   sweep_later();
   if (!authority_.lease_valid()) return;
   std::ptrdiff_t settled = 0;
   for (auto& [name, entry] : entries_) {
-    if (entry.settled_under == 0) continue;
+    if (entry.settled_token == 0) continue;
     ++settled;
-    if (entry.settled_under == authority_.token()) continue;
-    entry.doubtful = false;
+    if (entry.settled_token == authority_.token()) continue;
+    entry.append_unknown = false;
     write(name);
   }
   if (settled > kMostSettled) authority_.renew_token();
--- a/src/provisioning/stored_operation_log.hpp
+++ b/src/provisioning/stored_operation_log.hpp
@@ -1,68 +1,72 @@
 #pragma once
-// The operation log in the state service. Every write is conditional on the authority's guards and
-// on the record's own version, so that one that is carried out late undoes nothing newer.
+/// \file
+/// The operation log in the state service. Created by ProvisioningController for each term.
 
 #include <map>
 #include <memory>
 #include <set>
 
 #include "base/runtime.hpp"
+#include "base/stoppable.hpp"
 #include "provisioning/fencing_authority.hpp"
 #include "provisioning/operation_log.hpp"
 #include "store/store.hpp"
 
 namespace asterstair::provisioning {
 
-// Records at a time, open ones and those kept for a while; at most value_kb each, mostly some 300
-// bytes.
+/// Most records at a time, Pending ones and those kept for a while. Bounds what a new leader has to
+/// read: a record has at most value_kb, and mostly some 300 bytes.
 inline constexpr std::size_t kMostRecords = 512;
 
-class StoredOperationLog : public OperationLog,
-                           public std::enable_shared_from_this<StoredOperationLog> {
+/// Stores one record for each operation. Every write is a compare-and-swap on the authority's
+/// guards and on the record's own version, so a write that is executed late overwrites nothing
+/// newer.
+class StoredOperationLog : public OperationLog, public Stoppable<StoredOperationLog> {
  public:
   StoredOperationLog(Runtime& runtime, store::Store& store, FencingAuthority& authority)
       : runtime_(runtime), store_(store), authority_(authority) {}
 
   void load(std::function<void(std::vector<Operation>)> done) override;
   bool has_room() const override { return entries_.size() < kMostRecords; }
-  void begin(const Operation& operation, std::function<void(bool durable)> done) override;
+  void append(const Operation& operation, std::function<void(AppendOutcome)> done) override;
   void update(const Operation& operation) override;
   void remove(const std::string& name) override;
-  // Nothing is written any more: the term is over.
-  void stop() { stopped_ = true; }
 
  private:
   struct Entry {
-    Operation wanted;
-    bool removing = false;
-    std::uint64_t version = 0;  // of the record; 0: none is known to be there
-    bool writing = false, dirty = false;
-    // A write of its beginning went unanswered: it may yet be carried out. While the token lasts
-    // the record must stay, or the late copy would bring the operation back.
-    bool doubtful = false;
-    std::uint64_t settled_under = 0;          // the token; 0: not settled
-    std::function<void(bool durable)> begun;  // until that is known
+    Operation target;           ///< what the record is to say
+    bool remove = false;        ///< the record is to be removed
+    std::uint64_t version = 0;  ///< of the stored record; 0: none is known to exist
+    bool busy = false;          ///< a write is in progress, or a read of the record after one
+    bool changed = false;       ///< `target` or `remove` changed after the last write was sent
+    /// A write of the Pending record was not answered, and may be executed later. While the token
+    /// lasts the record must stay: without it the late write would create the operation again.
+    bool append_unknown = false;
+    std::uint64_t settled_token = 0;  ///< token under which it became Settled; 0: not Settled
+    std::function<void(AppendOutcome)> on_appended;  ///< empty once the outcome is known
   };
+  enum class WriteKind { Put, Removal };
 
+  void on_listed(const store::ListResult& result, std::function<void(std::vector<Operation>)> done);
+  std::vector<Operation> decode(const std::vector<wire::Item>& items);
   void write(const std::string& name);
-  void write_later(const std::string& name);
-  void written(const std::string& name, bool removal, const store::WriteResult& result);
-  void committed(const std::string& name, bool removal, std::uint64_t revision);
-  void not_done(const std::string& name);
+  void on_written(const std::string& name, WriteKind kind, const store::WriteResult& result);
+  void on_put(const std::string& name, std::uint64_t version);
+  void on_not_done(const std::string& name);
   void read_back(const std::string& name);
-  void read_back_answer(const std::string& name, const store::ReadResult& result);
+  void on_read_back(const std::string& name, const store::ReadResult& result);
+  void on_missing(const std::string& name);
+  void on_found(const std::string& name, std::uint64_t version);
+  void retry_later(const std::string& name,
+                   void (StoredOperationLog::*attempt)(const std::string&));
   void sweep_later();
   void sweep();
-  std::vector<Operation> decode(const std::vector<wire::Item>& items);
-  template <typename Action>
-  auto while_running(Action action);
 
   Runtime& runtime_;
   store::Store& store_;
   FencingAuthority& authority_;
-  bool stopped_ = false;
-  std::map<std::string, Entry> entries_;
-  std::set<std::string> quarantined_;  // keys, told once
+  std::map<std::string, Entry> entries_;  ///< by name of the operation
+  std::set<std::string> quarantined_;     ///< keys of records that cannot be decoded; logged once
 };
 
 }  // namespace asterstair::provisioning
--- a/tests/provisioning_records_test.cpp
+++ b/tests/provisioning_records_test.cpp
@@ -98,8 +98,9 @@
       const bool result = from != S::Pending && from != S::Settled;
       const bool settles = result && to == S::Settled;
       const bool rented = to == S::Granted || to == S::Refused || to == S::Withdrawn;
-      EXPECT_EQ(is_legal(OperationKind::Rent, from, to), settles || (from == S::Pending && rented));
-      EXPECT_EQ(is_legal(OperationKind::Return, from, to),
+      EXPECT_EQ(is_valid_transition(OperationKind::Rent, from, to),
+                settles || (from == S::Pending && rented));
+      EXPECT_EQ(is_valid_transition(OperationKind::Return, from, to),
                 settles || (from == S::Pending && to == S::Confirmed));
     }
   }
