--- a/src/autoscale/desired_machines.cpp
+++ b/src/autoscale/desired_machines.cpp
@@ -88,7 +88,7 @@
     double places = type.cpus / std::max(job.cpus, kAtLeast);
     if (job.gpus > 0) places = std::min(places, type.gpus / job.gpus);
     if (job.memory_gb > 0) places = std::min(places, type.memory_gb / job.memory_gb);
-    const double again = 1 + sched::takeback_chance(loss_rate, demand.remaining);
+    const double again = 1 + sched::loss_probability(loss_rate, demand.remaining);
     return (spot ? type.spot_price : type.price) * again / std::floor(places + sched::kRounding);
   }
 
--- a/src/leader/gangs.cpp
+++ b/src/leader/gangs.cpp
@@ -77,7 +77,7 @@
   const auto now = runtime_.now();
   const Seconds left = m.reclaim_at ? Seconds(*m.reclaim_at - now) : kNoNotice;
   const auto& job = *o.job;
-  if (job.checkpoint.count() > 0 && sched::final_save_fits(job.save, kRestartTime, left)) {
+  if (job.checkpoint.count() > 0 && sched::final_checkpoint_fits(job.save, kRestartTime, left)) {
     return job.save + Seconds(settings_.gang_peer);
   }
   // What cannot be saved and will not end in time is lost anyway; elsewhere at once is better than
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -330,7 +330,7 @@
     m.first_answered.reset();
     // Heartbeats made under an earlier token count as well: their answers renewed no later.
     m.first_valid_epoch = std::max(m.epoch, m.latest_heartbeat.first) + 1;
-    if (m.reconciled && !m.reclaim_at) losses_.lost({m.zone, m.spot}, now);
+    if (m.reconciled && !m.reclaim_at) losses_.record_loss({m.zone, m.spot}, now);
     log::info("machine {}: its lease has run out", id);
     Events events;
     machines_.clear(m, events);
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -91,7 +91,7 @@
     const auto& j = s.jobs[unplaced.first];
     const Job& job = *planned_jobs_[unplaced.first];
     const auto tasks =
-        std::min(job.waiting.size(), sched::team_room(s.teams.at(j.job->team), *j.job));
+        std::min(job.waiting.size(), sched::tasks_within_quota(s.teams.at(j.job->team), *j.job));
     if (tasks < 1) continue;
     demand_.push_back({job.spec, tasks, j.remaining, j.slack, urgent && j.guaranteed});
   }
--- a/src/leader/snapshot.cpp
+++ b/src/leader/snapshot.cpp
@@ -150,9 +150,9 @@
   add_machines(s, in_zone, unknown);
   add_teams(s, unknown);
   expect_accelerator_work(s);
-  sched::Guarantees guarantees(s.teams);
+  sched::GuaranteedQuota quota(s.teams);
   for (Job* job : jobs_by_arrival()) {
-    const bool guaranteed = guarantees.next(*job->spec, job->unfinished());
+    const bool guaranteed = quota.covers_next(*job->spec, job->unfinished());
     note_idle(*job);
     if (!may_be_placed(*job)) continue;
     auto p = plan_job(*job, guaranteed);
--- /dev/null
+++ b/src/sched/accelerator_reserve.cpp
@@ -0,0 +1,33 @@
+#include "sched/accelerator_reserve.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace asterstair::sched {
+
+AcceleratorReserve::AcceleratorReserve(const Snapshot& snapshot)
+    : keep_gpus_(snapshot.keep_gpus), cpus_per_gpu_(snapshot.cpus_per_gpu) {
+  for (const PlanMachine& machine : snapshot.machines) add(machine.free);
+}
+
+// Returns the free accelerators that have processors beside them for a job of the usual shape.
+double AcceleratorReserve::usable_accelerators(const Resources& free) const {
+  if (free.gpus <= 0) return 0;
+  if (cpus_per_gpu_ <= 0) return free.gpus;
+  const double by_cpus = std::floor(std::max(0.0, free.cpus) / cpus_per_gpu_ + kRounding);
+  return std::min(free.gpus, by_cpus);
+}
+
+std::uint32_t AcceleratorReserve::tasks_that_fit_on(const PlanJob& planned,
+                                                    const PlanMachine& machine) const {
+  const JobSpec& spec = *planned.job;
+  if (spec.gpus > 0 || machine.free.gpus <= 0 || planned.overdue) {
+    return tasks_that_fit(spec, machine.free);
+  }
+  Resources free = machine.free;
+  const double spare = std::max(0.0, usable_ - keep_gpus_);
+  free.cpus -= std::max(0.0, usable_accelerators(free) - spare) * cpus_per_gpu_;
+  return free.cpus <= 0 ? 0 : tasks_that_fit(spec, free);
+}
+
+}  // namespace asterstair::sched
--- a/src/sched/constraints.cpp
+++ b/src/sched/constraints.cpp
@@ -1,12 +1,18 @@
 #include "sched/constraints.hpp"
 
 #include <algorithm>
-#include <cmath>
 
 namespace asterstair::sched {
 namespace {
 
-constexpr double kUnlimited = 1e9;
+bool has_tasks_outside(const TasksByZone& in_zone, const std::string& zone) {
+  return std::any_of(in_zone.begin(), in_zone.end(),
+                     [&](const auto& other) { return other.second > 0 && other.first != zone; });
+}
+
+double tasks_below_maximum(double maximum, double used, double per_task) {
+  return maximum > 0 ? whole_tasks(maximum - used, per_task) : kUnlimitedTasks;
+}
 
 }  // namespace
 
@@ -15,14 +21,10 @@
          (!job.zone || *job.zone == machine.zone);
 }
 
-std::uint32_t zone_room(const JobSpec& job, const TasksByZone& in_zone, const std::string& zone) {
+std::uint32_t tasks_allowed_in_zone(const JobSpec& job, const TasksByZone& in_zone,
+                                    const std::string& zone) {
   if (job.zone && *job.zone != zone) return 0;
-  if (job.one_zone) {
-    const bool elsewhere = std::any_of(in_zone.begin(), in_zone.end(), [&](const auto& other) {
-      return other.second > 0 && other.first != zone;
-    });
-    if (elsewhere) return 0;
-  }
+  if (job.one_zone && has_tasks_outside(in_zone, zone)) return 0;
   if (!job.spread) return UINT32_MAX;
   const std::uint32_t most = (job.tasks + 1) / 2;
   const auto it = in_zone.find(zone);
@@ -30,15 +32,10 @@
   return there >= most ? 0 : most - there;
 }
 
-std::uint32_t team_room(const TeamState& team, const JobSpec& job) {
-  double n = kUnlimited;
-  if (team.max_cpus > 0 && job.cpus > 0) {
-    n = std::min(n, std::floor((team.max_cpus - team.used.cpus) / job.cpus + kRounding));
-  }
-  if (team.max_gpus > 0 && job.gpus > 0) {
-    n = std::min(n, std::floor((team.max_gpus - team.used.gpus) / job.gpus + kRounding));
-  }
-  return static_cast<std::uint32_t>(std::max(0.0, n));
+std::uint32_t tasks_within_quota(const TeamState& team, const JobSpec& job) {
+  const double by_cpus = tasks_below_maximum(team.max_cpus, team.used.cpus, job.cpus);
+  const double by_gpus = tasks_below_maximum(team.max_gpus, team.used.gpus, job.gpus);
+  return static_cast<std::uint32_t>(std::max(0.0, std::min(by_cpus, by_gpus)));
 }
 
 }  // namespace asterstair::sched
--- a/src/sched/loss.cpp
+++ b/src/sched/loss.cpp
@@ -4,7 +4,7 @@
 
 namespace asterstair::sched {
 
-void LossRates::lost(const LossGroup& group, TimePoint at) { losses_[group].push_back(at); }
+void LossRates::record_loss(const LossGroup& group, TimePoint at) { losses_[group].push_back(at); }
 
 double LossRates::rate(const LossGroup& group, std::size_t machines, TimePoint now) const {
   const auto it = losses_.find(group);
--- a/src/sched/order.cpp
+++ b/src/sched/order.cpp
@@ -3,38 +3,45 @@
 namespace asterstair::sched {
 namespace {
 
-// Seconds of slack that a core-second of work left weighs.
+// Seconds of slack that one core-second of remaining work counts for. Dimension: 1 / core.
 constexpr double kWorkWeight = 0.01;
 
-// Work left on the resource that is short for the job: accelerators if it needs them.
-double dominant_work(const PlanJob& j) {
-  return j.work.count() * (j.job->gpus > 0 ? j.job->gpus * kCpusPerGpu : j.job->cpus);
+// Returns the remaining work on the resource that is scarce for the job, in core-seconds:
+// accelerators if it needs them, processors otherwise.
+double dominant_work(const PlanJob& planned) {
+  const JobSpec& spec = *planned.job;
+  return planned.work.count() * (spec.gpus > 0 ? spec.gpus * kCpusPerGpu : spec.cpus);
 }
 
+double urgency_key(const PlanJob& planned) {
+  return planned.slack + kWorkWeight * dominant_work(planned);
+}
+
+bool is_late(const PlanJob& planned) { return planned.slack < 0; }
+
 }  // namespace
 
-bool Guarantees::next(const JobSpec& job, std::uint32_t unfinished) {
-  const auto team = teams_.find(job.team);
-  if (team == teams_.end()) return false;
-  const auto& t = team->second;
-  auto& earlier = earlier_[job.team];
-  earlier.add(job, unfinished);
-  if (t.guaranteed_cpus <= 0 && t.guaranteed_gpus <= 0) return false;
-  return earlier.cpus <= t.guaranteed_cpus + kRounding &&
-         earlier.gpus <= t.guaranteed_gpus + kRounding;
+bool GuaranteedQuota::covers_next(const JobSpec& job, std::uint32_t unfinished) {
+  const auto it = teams_.find(job.team);
+  if (it == teams_.end()) return false;
+  const TeamState& team = it->second;
+  Resources& wanted = earlier_[job.team];
+  wanted.add(job, unfinished);
+  if (team.guaranteed_cpus <= 0 && team.guaranteed_gpus <= 0) return false;
+  return wanted.cpus <= team.guaranteed_cpus + kRounding &&
+         wanted.gpus <= team.guaranteed_gpus + kRounding;
 }
 
-bool precedes(const PlanJob& a, const PlanJob& b) {
-  if (a.guaranteed != b.guaranteed) return a.guaranteed;
-  if (a.job->priority != b.job->priority) return a.job->priority > b.job->priority;
-  if (a.starving != b.starving) return a.starving;
-  if (a.starving && a.waited != b.waited) return a.waited > b.waited;
-  const bool a_late = a.slack < 0, b_late = b.slack < 0;
-  if (a_late != b_late) return b_late;
-  const double a_key = a.slack + kWorkWeight * dominant_work(a);
-  const double b_key = b.slack + kWorkWeight * dominant_work(b);
-  if (a_key != b_key) return a_key < b_key;
-  return a.job->id < b.job->id;
+bool precedes(const PlanJob& left, const PlanJob& right) {
+  if (left.guaranteed != right.guaranteed) return left.guaranteed;
+  if (left.job->priority != right.job->priority) return left.job->priority > right.job->priority;
+  if (left.starving != right.starving) return left.starving;
+  if (left.starving && left.waited != right.waited) return left.waited > right.waited;
+  if (is_late(left) != is_late(right)) return is_late(right);
+  const double left_key = urgency_key(left);
+  const double right_key = urgency_key(right);
+  if (left_key != right_key) return left_key < right_key;
+  return left.job->id < right.job->id;
 }
 
 }  // namespace asterstair::sched
--- a/src/sched/resources.cpp
+++ b/src/sched/resources.cpp
@@ -4,11 +4,11 @@
 #include <cmath>
 
 namespace asterstair::sched {
-namespace {
 
-constexpr double kUnlimited = 1e9;
-
-}  // namespace
+double whole_tasks(double available, double per_task) {
+  if (per_task <= 0) return kUnlimitedTasks;
+  return std::min(kUnlimitedTasks, std::floor(available / per_task + kRounding));
+}
 
 bool fits(const JobSpec& job, const Resources& free) {
   return free.cpus + kRounding >= job.cpus && free.gpus + kRounding >= job.gpus &&
@@ -16,11 +16,10 @@
 }
 
 std::uint32_t tasks_that_fit(const JobSpec& job, const Resources& free) {
-  double n = kUnlimited;
-  if (job.cpus > 0) n = std::min(n, std::floor(free.cpus / job.cpus + kRounding));
-  if (job.gpus > 0) n = std::min(n, std::floor(free.gpus / job.gpus + kRounding));
-  if (job.memory_gb > 0) n = std::min(n, std::floor(free.memory_gb / job.memory_gb + kRounding));
-  return static_cast<std::uint32_t>(std::max(0.0, n));
+  const double by_cpus = whole_tasks(free.cpus, job.cpus);
+  const double by_gpus = whole_tasks(free.gpus, job.gpus);
+  const double by_memory = whole_tasks(free.memory_gb, job.memory_gb);
+  return static_cast<std::uint32_t>(std::max(0.0, std::min({by_cpus, by_gpus, by_memory})));
 }
 
 }  // namespace asterstair::sched
--- a/src/sched/sampling.cpp
+++ b/src/sched/sampling.cpp
@@ -5,10 +5,10 @@
 namespace asterstair::sched {
 
 std::vector<std::size_t> take_sample(std::vector<std::size_t>& from, Rng& rng) {
-  std::vector<std::size_t> out;
+  std::vector<std::size_t> sample;
   if (from.size() <= kSampleAbove) {
-    out.swap(from);
-    return out;
+    sample.swap(from);
+    return sample;
   }
   std::vector<std::size_t> rest;
   rest.reserve(from.size() - kSampleSize);
@@ -16,14 +16,14 @@
   for (std::size_t i = 0; i < from.size(); ++i) {
     const std::size_t left = from.size() - i;
     if (std::uniform_int_distribution<std::size_t>(0, left - 1)(rng) < wanted) {
-      out.push_back(from[i]);
+      sample.push_back(from[i]);
       --wanted;
     } else {
       rest.push_back(from[i]);
     }
   }
   from.swap(rest);
-  return out;
+  return sample;
 }
 
 }  // namespace asterstair::sched
--- a/src/sched/sampling.hpp
+++ b/src/sched/sampling.hpp
@@ -1,5 +1,7 @@
 #pragma once
-// Samples of machines in place of full searches, where many would do.
+/// @file
+/// Random samples of machines that replace a full search where many machines would do. Called by
+/// the planner and by preemption.
 
 #include <cstddef>
 #include <vector>
@@ -8,10 +10,14 @@
 
 namespace asterstair::sched {
 
-// Above this many fitting machines a job is placed on a random sample of them.
-inline constexpr std::size_t kSampleAbove = 96, kSampleSize = 64;
+/// Number of machines up to which all are searched; above it, a random sample is.
+inline constexpr std::size_t kSampleAbove = 96;
 
-// Takes kSampleSize machines at random out of the list; all if they are no more than kSampleAbove.
+/// Number of machines in a sample.
+inline constexpr std::size_t kSampleSize = 64;
+
+/// Takes kSampleSize random elements out of `from`, or all if there are no more than kSampleAbove.
+/// Both the sample and the rest keep their order.
 std::vector<std::size_t> take_sample(std::vector<std::size_t>& from, Rng& rng);
 
 }  // namespace asterstair::sched
--- a/tests/formulas_test.cpp
+++ b/tests/formulas_test.cpp
@@ -29,15 +29,15 @@
   EXPECT_DOUBLE_EQ(start_delay(2.5, false).count(), 25.0);
   EXPECT_DOUBLE_EQ(start_delay(2.5, true).count(), 0.0);
   // 1 - exp(-0.001 * 1000) = 0.632121
-  EXPECT_NEAR(takeback_chance(0.001, Seconds(1000)), 0.6321206, 1e-6);
+  EXPECT_NEAR(loss_probability(0.001, Seconds(1000)), 0.6321206, 1e-6);
   EXPECT_NEAR(placement_score(Seconds(10), 0.001, Seconds(1000), Seconds(20)), 22.642411, 1e-5);
   EXPECT_NEAR(placement_score(Seconds(10), 0.001, Seconds(1000), Seconds(20), 0.5), 16.321206,
               1e-5);
 }
 
 TEST(FinalSave, NeedsCheckpointAndRestartTimeWithinTheNotice) {
-  EXPECT_TRUE(final_save_fits(Seconds(5), Seconds(1), Seconds(6)));
-  EXPECT_FALSE(final_save_fits(Seconds(5), Seconds(1), Seconds(5.9)));
+  EXPECT_TRUE(final_checkpoint_fits(Seconds(5), Seconds(1), Seconds(6)));
+  EXPECT_FALSE(final_checkpoint_fits(Seconds(5), Seconds(1), Seconds(5.9)));
 }
 
 TEST(LossRates, CountTheWindowAboveTheFloor) {
@@ -45,8 +45,8 @@
   const TimePoint start{};
   const LossGroup group{"a", true};
   EXPECT_DOUBLE_EQ(rates.rate(group, 5, start), kLossFloorPerSecond);
-  rates.lost(group, start + 10s);
-  rates.lost(group, start + 20s);
+  rates.record_loss(group, start + 10s);
+  rates.record_loss(group, start + 20s);
   EXPECT_DOUBLE_EQ(rates.rate(group, 4, start + 30s), 2.0 / 4 / 3600);
   EXPECT_DOUBLE_EQ(rates.rate({"a", false}, 4, start + 30s), kLossFloorPerSecond);
   EXPECT_DOUBLE_EQ(rates.rate(group, 4, start + 3615s), 1.0 / 4 / 3600);
@@ -182,8 +182,8 @@
   guaranteed.priority = late.priority = Priority::Low;
   s.teams["u"].guaranteed_cpus = 16;
   const auto mark = [&] {
-    Guarantees guarantees(s.teams);
-    for (auto& j : s.jobs) j.guaranteed = guarantees.next(*j.job, j.waiting);
+    GuaranteedQuota quota(s.teams);
+    for (auto& j : s.jobs) j.guaranteed = quota.covers_next(*j.job, j.waiting);
   };
   mark();
   EXPECT_EQ(placed(plan(s, rng), 2), 8U);
@@ -200,12 +200,12 @@
   job.cpus = 30;
   std::map<std::string, TeamState> teams;
   teams["t"].guaranteed_cpus = 70;
-  Guarantees guarantees(teams);
-  EXPECT_TRUE(guarantees.next(job, 1));
-  EXPECT_TRUE(guarantees.next(job, 1));
-  EXPECT_FALSE(guarantees.next(job, 1));
+  GuaranteedQuota quota(teams);
+  EXPECT_TRUE(quota.covers_next(job, 1));
+  EXPECT_TRUE(quota.covers_next(job, 1));
+  EXPECT_FALSE(quota.covers_next(job, 1));
   job.team = "none";
-  EXPECT_FALSE(guarantees.next(job, 1));
+  EXPECT_FALSE(quota.covers_next(job, 1));
 }
 
 TEST_F(Placing, StopsOnlyLowerPriorityAndWorkAboveOthersGuarantees) {
