--- a/src/cluster/machine_losses.cpp
+++ b/src/cluster/machine_losses.cpp
@@ -9,7 +9,7 @@
 }  // namespace
 
 void MachineLosses::record(const Machine& machine, TimePoint now) {
-  rates_.lost({machine.zone, machine.spot}, now);
+  rates_.record_loss({machine.zone, machine.spot}, now);
 }
 
 double MachineLosses::rate_of(const Machine& machine, TimePoint now) const {
--- a/src/leader/gang_controller.cpp
+++ b/src/leader/gang_controller.cpp
@@ -51,7 +51,7 @@
   const auto now = context_.now();
   const Seconds left = machine.reclaim_at ? Seconds(*machine.reclaim_at - now) : kNoNotice;
   const JobSpec& job = *attempt.job;
-  if (job.checkpoint.count() > 0 && sched::final_save_fits(job.save, kRestartTime, left)) {
+  if (job.checkpoint.count() > 0 && sched::final_checkpoint_fits(job.save, kRestartTime, left)) {
     return grace_to_save(job);
   }
   // A task that can neither save nor end in time is lost in any case. It restarts elsewhere sooner
--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -99,9 +99,9 @@
 }
 
 void SnapshotBuilder::add_jobs(SchedulingInput& input, const TasksByJobAndZone& in_zone) {
-  sched::Guarantees guarantees(input.snapshot.teams);
+  sched::GuaranteedQuota quota(input.snapshot.teams);
   for (Job* job : jobs_by_arrival()) {
-    const bool guaranteed = guarantees.next(*job->spec, job->unfinished());
+    const bool guaranteed = quota.covers_next(*job->spec, job->unfinished());
     update_idle_time(*job);
     if (!placeable(*job)) continue;
     auto planned = plan_job(*job, guaranteed);
