--- a/tests/cost_test.cpp
+++ b/tests/cost_test.cpp
@@ -7,6 +7,7 @@
 #include "cluster/job_table.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
+#include "sim/allocations.hpp"
 #include "sim/scenario.hpp"
 #include "wire/worker.hpp"
 
@@ -67,16 +68,16 @@
 
 // Allocations of the leader's own loops in ten seconds in which nothing changes.
 std::uint64_t cost_of_a_steady_fleet(std::size_t per_pool) {
-  Scenario s(77, per_pool);
-  s.world.run_until(2);
-  s.submit(spot_array(static_cast<std::uint32_t>(per_pool * 35), 900));
-  s.world.run_until(80);
-  EXPECT_GE(s.cloud.running().size(), (Scenario::kPools - 1) * per_pool);
-  const int leader = s.leader();
+  Scenario scenario(77, per_pool);
+  scenario.run_until(2);
+  scenario.users.submit(spot_array_job(static_cast<std::uint32_t>(per_pool * 35), 900));
+  scenario.run_until(80);
+  EXPECT_GE(scenario.cloud.running_workers().size(), (Scenario::kPools - 1) * per_pool);
+  const int leader = scenario.leader();
   if (leader < 0) return 0;
-  const auto& runtime = *s.nodes[static_cast<std::size_t>(leader)].runtime;
+  const auto& runtime = *scenario.process(leader).runtime;
   const auto before = runtime.timer_allocations;
-  s.world.run_until(90);
+  scenario.run_until(90);
   return runtime.timer_allocations - before;
 }
 
@@ -109,10 +110,11 @@
   const auto before = allocations();
   int ended = 0, answered = 0;
   for (int i = 0; i < kConnections; ++i) {
-    client->send(address, {"POST", "/", std::string(20'000, 'y')}, 10s, [&](const HttpResponse& r) {
-      ++ended;
-      answered += r.status == 200 ? 1 : 0;
-    });
+    client->send(address, {"POST", "/", std::string(20'000, 'y')}, 10s,
+                 [&](const HttpResponse& response) {
+                   ++ended;
+                   answered += response.status == 200 ? 1 : 0;
+                 });
   }
   // Each request ends within its timeout.
   while (ended < kConnections) uv_run(&loop, UV_RUN_ONCE);
--- a/tests/load/provisioning_failover.cpp
+++ b/tests/load/provisioning_failover.cpp
@@ -1,8 +1,8 @@
-// Time from the end of the node that rents machines to the first rental of its successor, and what
-// the operation log writes, over seeds in simulated time; with the provisioning lease's records and
-// without.
+// Time from the crash of the node that rents machines to the first rental of its successor, and
+// what the operation log writes, over seeds in simulated time; with and without the records of the
+// provisioning lease.
 //
-// Usage: asterstair_duty_takeover [runs] [machines per pool]
+// Usage: asterstair_provisioning_failover [runs] [machines per pool]
 
 #include <algorithm>
 #include <cstdio>
@@ -22,17 +22,18 @@
 };
 
 Result take_over(std::uint64_t seed, std::size_t per_pool, bool recorded) {
-  Scenario s(seed, per_pool, 3, {}, Features{recorded});
+  Scenario scenario(seed, per_pool, 3, {}, Features{recorded});
   const auto fill = static_cast<std::uint32_t>(per_pool * 16);
-  s.submit(array(fill, 400));
-  s.world.run_until(60);
-  s.crash(s.leader(), 300);
+  scenario.users.submit(array_job(fill, 400));
+  scenario.run_until(60);
+  scenario.crash(scenario.leader(), 300);
   // More work than the machines hold: the successor is to rent at once.
-  s.submit(array(fill, 400));
-  const auto before = s.cloud.orders.rentals_asked.size();
+  scenario.users.submit(array_job(fill, 400));
+  const auto before = scenario.cloud.requests.rentals.size();
   double t = 60;
-  while (s.cloud.orders.rentals_asked.size() == before && t < 160) s.world.run_until(t += 0.1);
-  return {t - 60, s.state.writes, s.state.bytes_written, s.cloud.orders.rentals_asked.size()};
+  while (scenario.cloud.requests.rentals.size() == before && t < 160) scenario.run_until(t += 0.1);
+  return {t - 60, scenario.store.writes, scenario.store.bytes_written,
+          scenario.cloud.requests.rentals.size()};
 }
 
 void measure(std::size_t runs, std::size_t per_pool, bool recorded) {
--- a/tests/load/traffic_digest.cpp
+++ b/tests/load/traffic_digest.cpp
@@ -1,6 +1,6 @@
-// Plays seeded days with faults and prints, for each, a digest of everything that the nodes send:
-// their requests, the responses they give, and their messages to one another. A change that keeps
-// the program's behaviour keeps every digest.
+// Runs seeded simulations with faults and prints, for each, a digest of everything that the nodes
+// send: their requests, their responses, and their messages to one another. A change that keeps the
+// program's behaviour keeps every digest.
 //
 // Usage: asterstair_traffic_digest [seconds] [seed]
 
@@ -14,7 +14,7 @@
 #include <string_view>
 
 #include "base/log.hpp"
-#include "sim/random_day.hpp"
+#include "sim/fault_injection.hpp"
 
 namespace {
 
@@ -43,13 +43,13 @@
 class TrafficRecorder {
  public:
   explicit TrafficRecorder(Scenario& scenario) {
-    scenario.world.on_request = [this](const std::string& from, const std::string& to,
-                                       const HttpRequest& request) {
+    scenario.network.on_request = [this](const std::string& from, const std::string& to,
+                                         const HttpRequest& request) {
       if (is_node(from)) add({"request", from, to, request.method, request.target, request.body});
     };
-    scenario.world.on_response = [this, addresses = Scenario::addresses(scenario.count())](
-                                     const std::string& to, const std::string& from,
-                                     const HttpResponse& response) {
+    scenario.network.on_response = [this, addresses = scenario.node_list.addresses](
+                                       const std::string& to, const std::string& from,
+                                       const HttpResponse& response) {
       if (std::find(addresses.begin(), addresses.end(), from) == addresses.end()) return;
       const auto retry_after = response.retry_after.value_or(std::chrono::seconds(0)).count();
       add({"response", from, to, std::to_string(response.status), response.body,
@@ -76,28 +76,43 @@
   std::uint64_t messages_ = 0;
 };
 
-const std::array<Day, 6> kDays{{
+const std::array<FaultMix, 6> kFaultMixes{{
     {.name = "quiet"},
-    {.name = "machines", .spot = true, .sick = true, .cloud = true, .deaf = true, .hangs = true},
+    {.name = "machines",
+     .spot_preemptions = true,
+     .failing_machines = true,
+     .cloud_outages = true,
+     .lost_commands = true,
+     .machine_hangs = true},
     {.name = "leaders",
-     .crashes = true,
-     .outages = true,
-     .copies = true,
-     .late_writes = true,
-     .cancels = true,
-     .leaders = true,
+     .node_crashes = true,
+     .store_outages = true,
+     .duplicate_requests = true,
+     .late_transactions = true,
+     .mass_cancellations = true,
+     .leader_crashes = true,
+     .nodes = 5},
+    {.name = "zones",
+     .spot_preemptions = true,
+     .lost_heartbeats = true,
+     .zone_partitions = true,
+     .slow_responses = true,
      .nodes = 5},
-    {.name = "zones", .spot = true, .mute = true, .zones = true, .slow = true, .nodes = 5},
     {.name = "isolated",
-     .losses = true,
-     .burst = true,
-     .alone = true,
-     .flapping = true,
-     .cancels = true,
-     .at_end = true,
-     .odd = true,
+     .message_loss = true,
+     .submission_burst = true,
+     .isolated_controllers = true,
+     .rapid_crashes = true,
+     .mass_cancellations = true,
+     .cancellations_at_completion = true,
+     .invalid_requests = true,
      .nodes = 5},
-    {.name = "outages", .cuts = true, .copies = true, .cancels = true, .away = true, .gap = true},
+    {.name = "outages",
+     .isolated_hosts = true,
+     .duplicate_requests = true,
+     .mass_cancellations = true,
+     .all_nodes_down = true,
+     .refusal_then_outage = true},
 }};
 
 int run(int argc, char** argv) {
@@ -105,16 +120,16 @@
   const double length = argc > 1 ? std::strtod(argv[1], nullptr) : 240;
   const std::uint64_t seed = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1;
   bool rules_hold = true;
-  for (const auto& day : kDays) {
+  for (const auto& faults : kFaultMixes) {
     for (const bool with_features : {true, false}) {
-      Scenario scenario(seed, 3, day.nodes, {}, Features{with_features});
+      Scenario scenario(seed, 3, faults.nodes, {}, Features{with_features});
       const TrafficRecorder recorder(scenario);
-      play(scenario, day, length);
-      rules_hold = rules_hold && scenario.checker.broken.empty();
+      run_randomized(scenario, faults, length);
+      rules_hold = rules_hold && scenario.checker.violations.empty();
       std::cout << fmt::format("{:016x} {} features {}: {} messages, {} tasks done\n",
-                               recorder.digest(), day.name, with_features ? "on" : "off",
-                               recorder.messages(), scenario.checker.done_tasks)
-                << scenario.checker.text();
+                               recorder.digest(), faults.name, with_features ? "on" : "off",
+                               recorder.messages(), scenario.checker.completed_tasks)
+                << scenario.checker.report();
     }
   }
   return rules_hold ? 0 : 1;
--- a/tests/provisioning_faults_test.cpp
+++ b/tests/provisioning_faults_test.cpp
@@ -34,44 +34,45 @@
  public:
   PausedRun(bool cloud_checks_token, Trouble trouble, std::size_t step)
       : scenario(kSeed), trouble_(trouble), step_(step) {
-    scenario.cloud.checks_token = cloud_checks_token;
-    auto& w = scenario.world;
-    w.late = [this](const std::string& from, const std::string&, const HttpRequest& request) {
+    scenario.cloud.checks_tokens = cloud_checks_token;
+    scenario.network.delay_request = [this](const std::string& from, const std::string&,
+                                            const HttpRequest& request) {
       if (!concerns_duty(request)) return 0.0;
       const bool late = trouble_ == Trouble::LateMessage || trouble_ == Trouble::UnheardAnswer;
       return next_step(from) && late ? kLate : 0.0;
     };
-    w.answered = [this](const std::string& from, const std::string&, const HttpRequest& request) {
+    scenario.network.on_answered = [this](const std::string& from, const std::string&,
+                                          const HttpRequest& request) {
       if (concerns_duty(request)) next_step(from);
     };
   }
 
   // Machines are rented, left idle and returned; a gang comes while that is going on.
   void rent_and_return() {
-    jobs_.push_back(scenario.submit(array(8, 20)));
-    scenario.world.at(75s, [this] { jobs_.push_back(scenario.submit(gang())); });
-    scenario.world.run_until(kEnd);
+    jobs_.push_back(scenario.users.submit(array_job(8, 20)));
+    scenario.simulator.schedule(75s, [this] { jobs_.push_back(scenario.users.submit(gang())); });
+    scenario.run_until(kEnd);
   }
   // One machine would hold all the work, but none ever comes up: each is returned after a while.
   void rent_one(double until) {
-    scenario.cloud.never_boots = 1;
-    auto ask = array(4, kEnd);
-    ask.truth.types = {"c16"};
-    scenario.submit(ask);
-    scenario.world.run_until(until);
+    scenario.cloud.boot_failure_rate = 1;
+    auto job = array_job(4, kEnd);
+    job.requirements.types = {"c16"};
+    scenario.users.submit(job);
+    scenario.run_until(until);
   }
   std::size_t rented_now() const {
-    return scenario.cloud.orders.rented - scenario.cloud.orders.returned_by.size();
+    return scenario.cloud.requests.rented - scenario.cloud.requests.returned_by.size();
   }
 
   void check() const {
-    const auto& orders = scenario.cloud.orders;
-    EXPECT_TRUE(scenario.checker.broken.empty()) << scenario.checker.text();
-    for (const auto& job : jobs_) EXPECT_EQ(scenario.checker.final_of(job), "done") << job;
+    const auto& orders = scenario.cloud.requests;
+    EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
+    for (const auto& job : jobs_) EXPECT_EQ(scenario.checker.final_stage(job), "done") << job;
     EXPECT_EQ(orders.double_returns, 0U);
     EXPECT_EQ(orders.returned_with_work, 0U);
-    EXPECT_EQ(scenario.cloud.rented(), 0U) << "machines are lost to everybody";
-    for (const auto& [key, value] : scenario.state.keys()) {
+    EXPECT_EQ(scenario.cloud.rented_count(), 0U) << "machines are lost to everybody";
+    for (const auto& [key, value] : scenario.store.records()) {
       if (key.starts_with("ledger/machines/")) {
         EXPECT_NE(value.first.value("state", ""), "intended") << key << " is still open";
       }
@@ -82,16 +83,16 @@
   std::size_t steps = 0;
 
  private:
-  static Scenario::Ask gang() {
-    auto ask = array(3, 20);
-    ask.spec.gang = true;
-    ask.spec.cpus = 12;
-    return ask;
+  static Submission gang() {
+    auto job = array_job(3, 20);
+    job.workload.gang = true;
+    job.workload.cpus = 12;
+    return job;
   }
 
   int node_of(const std::string& name) const {
-    for (int i = 0; i < scenario.count(); ++i) {
-      if (scenario.name(i) == name) return i;
+    for (int i = 0; i < scenario.node_count(); ++i) {
+      if (scenario.node_name(i) == name) return i;
     }
     return -1;
   }
@@ -116,7 +117,7 @@
         scenario.freeze(node, kLong);
         break;
       case Trouble::Ends:
-        scenario.world.at(0s, [this, node] { scenario.crash(node, 0.3); });
+        scenario.simulator.schedule(0s, [this, node] { scenario.crash(node, 0.3); });
         break;
       case Trouble::UnheardAnswer:
         break;
@@ -154,15 +155,15 @@
   PausedRun calm(cloud_checks_token, trouble, kNever);
   calm.rent_one(kNoneReturnedYet);
   ASSERT_GE(calm.steps, 5U) << "one rental, with its records";
-  ASSERT_EQ(calm.scenario.cloud.orders.rented, 1U);
+  ASSERT_EQ(calm.scenario.cloud.requests.rented, 1U);
   for (std::size_t step = 0; step < calm.steps; ++step) {
     SCOPED_TRACE("step " + std::to_string(step));
     PausedRun run(cloud_checks_token, trouble, step);
     run.rent_one(kNoneReturnedYet);
-    EXPECT_EQ(run.scenario.cloud.orders.rented, 1U);
-    run.scenario.world.run_until(kLate + kLong);
+    EXPECT_EQ(run.scenario.cloud.requests.rented, 1U);
+    run.scenario.run_until(kLate + kLong);
     EXPECT_LE(run.rented_now(), 1U);
-    EXPECT_TRUE(run.scenario.checker.broken.empty()) << run.scenario.checker.text();
+    EXPECT_TRUE(run.scenario.checker.violations.empty()) << run.scenario.checker.report();
   }
 }
 
--- a/tests/random_runs_test.cpp
+++ b/tests/random_runs_test.cpp
@@ -3,7 +3,8 @@
 #include <gtest/gtest.h>
 
 #include "base/log.hpp"
-#include "sim/random_day.hpp"
+#include "sim/fault_injection.hpp"
+#include "sim/traffic.hpp"
 
 namespace {
 
@@ -15,45 +16,31 @@
   return true;
 }();
 
-class RandomDay : public testing::TestWithParam<std::tuple<Day, int>> {};
-
-TEST_P(RandomDay, KeepsTheRulesAndEndsTheJobs) {
-  const auto& [day, seed] = GetParam();
-  Scenario s(static_cast<std::uint64_t>(seed), 3, day.nodes);
-  play(s, day, 300);
-  // Then quiet: whatever was accepted ends.
-  s.state.outage(false);
-  s.cloud.down = false;
-  s.cloud.never_boots = 0;
-  s.world.lose = s.world.delay = s.world.copies = s.world.late_writes = 0;
-  s.world.slow = nullptr;
-  s.checker.on_last = nullptr;
-  s.world.hear_again();
-  s.world.join_again();
-  for (int i = 0; i < s.count(); ++i) {
-    s.world.heal(s.name(i));
-    s.world.refuse(s.name(i), "state", false);
-  }
-  for (const auto& m : s.cloud.running()) {
-    s.world.heal(m->id);
-    m->sick = false;
-  }
+class RandomizedSimulation : public testing::TestWithParam<std::tuple<FaultMix, int>> {};
+
+TEST_P(RandomizedSimulation, KeepsTheRulesAndEndsTheJobs) {
+  const auto& [faults, seed] = GetParam();
+  Scenario scenario(static_cast<std::uint64_t>(seed), 3, faults.nodes);
+  run_randomized(scenario, faults, 300);
+  // Then quiet: whatever was accepted becomes final.
+  end_all_faults(scenario);
   // Nodes that have just ended are back within seconds, or a lease and some; so are machines that
   // hang.
-  const bool longer = day.hangs || day.cancels || day.away || day.leaders;
-  s.world.at(longer ? 30s : 10s, [&s] { s.checker.troubles_over(); });
-  s.world.run_until(1500);
-  s.checker.look_at_service([](const std::string&) { return false; });
-  EXPECT_TRUE(s.checker.broken.empty()) << "seed " << seed << "\n" << s.checker.text();
-  EXPECT_GT(s.checker.done_tasks, 50U) << "seed " << seed;
+  const bool longer = faults.machine_hangs || faults.mass_cancellations || faults.all_nodes_down ||
+                      faults.leader_crashes;
+  scenario.simulator.schedule(longer ? 30s : 10s,
+                              [&scenario] { scenario.checker.on_faults_over(); });
+  scenario.run_until(1500);
+  scenario.checker.check_service([](const std::string&) { return false; });
+  EXPECT_TRUE(scenario.checker.violations.empty()) << "seed " << seed << "\n"
+                                                   << scenario.checker.report();
+  EXPECT_GT(scenario.checker.completed_tasks, 50U) << "seed " << seed;
   unsigned open = 0;
   std::string which;
-  for (unsigned i = 1; i <= s.next_job; ++i) {
-    char id[16];
-    std::snprintf(id, sizeof id, "req-%06u", i);
-    if (s.checker.accepted(id) && !s.checker.over(id)) {
+  for (const auto& id : scenario.users.job_ids()) {
+    if (scenario.checker.is_accepted(id) && !scenario.checker.is_final(id)) {
       ++open;
-      which += std::string(id) + " ";
+      which += id + " ";
     }
   }
   EXPECT_EQ(open, 0U) << "seed " << seed << ": " << which;
@@ -61,38 +48,74 @@
 
 // Two troubles and more at a time, as the operators' page names them.
 INSTANTIATE_TEST_SUITE_P(
-    Meetings, RandomDay,
+    Meetings, RandomizedSimulation,
     testing::Combine(
         testing::Values(
-            Day{.name = "gap", .cancels = true, .gap = true, .nodes = 5},
-            Day{.name = "gap_copies", .copies = true, .cancels = true, .gap = true, .slow = true},
-            Day{.name = "late_writes", .crashes = true, .late_writes = true, .nodes = 5},
-            Day{.name = "late_writes_at_end", .late_writes = true, .at_end = true, .slow = true},
-            Day{.name = "away", .cuts = true, .copies = true, .away = true},
-            Day{.name = "leaders", .outages = true, .cancels = true, .leaders = true, .nodes = 5},
-            Day{.name = "zones", .crashes = true, .zones = true, .nodes = 5},
-            Day{.name = "zones_spot", .spot = true, .copies = true, .zones = true},
-            Day{.name = "hangs", .crashes = true, .hangs = true, .cancels = true},
-            Day{.name = "deaf_leaders", .deaf = true, .mute = true, .leaders = true, .nodes = 5},
-            Day{.name = "alone_cancels", .alone = true, .cancels = true, .odd = true, .nodes = 5},
-            Day{.name = "full", .burst = true, .copies = true, .cancels = true, .slow = true},
-            Day{.name = "at_end_odd", .at_end = true, .odd = true},
-            Day{.name = "all_meetings",
-                .outages = true,
-                .cuts = true,
-                .spot = true,
-                .deaf = true,
-                .copies = true,
-                .alone = true,
-                .flapping = true,
-                .late_writes = true,
-                .hangs = true,
-                .mute = true,
-                .zones = true,
-                .cancels = true,
-                .at_end = true,
-                .odd = true,
-                .nodes = 5}),
+            FaultMix{
+                .name = "gap", .mass_cancellations = true, .refusal_then_outage = true, .nodes = 5},
+            FaultMix{.name = "gap_copies",
+                     .duplicate_requests = true,
+                     .mass_cancellations = true,
+                     .refusal_then_outage = true,
+                     .slow_responses = true},
+            FaultMix{
+                .name = "late_writes", .node_crashes = true, .late_transactions = true, .nodes = 5},
+            FaultMix{.name = "late_writes_at_end",
+                     .late_transactions = true,
+                     .cancellations_at_completion = true,
+                     .slow_responses = true},
+            FaultMix{.name = "away",
+                     .isolated_hosts = true,
+                     .duplicate_requests = true,
+                     .all_nodes_down = true},
+            FaultMix{.name = "leaders",
+                     .store_outages = true,
+                     .mass_cancellations = true,
+                     .leader_crashes = true,
+                     .nodes = 5},
+            FaultMix{.name = "zones", .node_crashes = true, .zone_partitions = true, .nodes = 5},
+            FaultMix{.name = "zones_spot",
+                     .spot_preemptions = true,
+                     .duplicate_requests = true,
+                     .zone_partitions = true},
+            FaultMix{.name = "hangs",
+                     .node_crashes = true,
+                     .machine_hangs = true,
+                     .mass_cancellations = true},
+            FaultMix{.name = "deaf_leaders",
+                     .lost_commands = true,
+                     .lost_heartbeats = true,
+                     .leader_crashes = true,
+                     .nodes = 5},
+            FaultMix{.name = "alone_cancels",
+                     .isolated_controllers = true,
+                     .mass_cancellations = true,
+                     .invalid_requests = true,
+                     .nodes = 5},
+            FaultMix{.name = "full",
+                     .submission_burst = true,
+                     .duplicate_requests = true,
+                     .mass_cancellations = true,
+                     .slow_responses = true},
+            FaultMix{.name = "at_end_odd",
+                     .cancellations_at_completion = true,
+                     .invalid_requests = true},
+            FaultMix{.name = "all_meetings",
+                     .store_outages = true,
+                     .isolated_hosts = true,
+                     .spot_preemptions = true,
+                     .lost_commands = true,
+                     .duplicate_requests = true,
+                     .isolated_controllers = true,
+                     .rapid_crashes = true,
+                     .late_transactions = true,
+                     .machine_hangs = true,
+                     .lost_heartbeats = true,
+                     .zone_partitions = true,
+                     .mass_cancellations = true,
+                     .cancellations_at_completion = true,
+                     .invalid_requests = true,
+                     .nodes = 5}),
         testing::Values(1, 2)),
     [](const auto& info) {
       return std::string(std::get<0>(info.param).name) + "_" +
@@ -100,33 +123,46 @@
     });
 
 INSTANTIATE_TEST_SUITE_P(
-    Days, RandomDay,
-    testing::Combine(testing::Values(Day{"quiet"}, Day{"crashes", true},
-                                     Day{"outages", false, true}, Day{"cuts", false, false, true},
-                                     Day{"spot", false, false, false, true, true},
-                                     Day{"cloud", false, false, false, false, false, true},
-                                     Day{"messages", true, false, true, false, false, false, true},
-                                     Day{"everything", true, true, true, true, true, true, true,
-                                         true},
-                                     Day{.name = "deaf", .deaf = true},
-                                     Day{.name = "copies",
-                                         .crashes = true,
-                                         .cuts = true,
-                                         .spot = true,
-                                         .copies = true,
-                                         .nodes = 5},
-                                     Day{.name = "alone", .alone = true, .nodes = 5},
-                                     Day{.name = "flapping", .flapping = true, .nodes = 5},
-                                     Day{.name = "all_new",
-                                         .outages = true,
-                                         .cuts = true,
-                                         .losses = true,
-                                         .deaf = true,
-                                         .copies = true,
-                                         .alone = true,
-                                         .flapping = true,
-                                         .nodes = 5}),
-                     testing::Values(1, 2, 3)),
+    Days, RandomizedSimulation,
+    testing::Combine(
+        testing::Values(
+            FaultMix{.name = "quiet"}, FaultMix{.name = "crashes", .node_crashes = true},
+            FaultMix{.name = "outages", .store_outages = true},
+            FaultMix{.name = "cuts", .isolated_hosts = true},
+            FaultMix{.name = "spot", .spot_preemptions = true, .failing_machines = true},
+            FaultMix{.name = "cloud", .cloud_outages = true},
+            FaultMix{.name = "messages",
+                     .node_crashes = true,
+                     .isolated_hosts = true,
+                     .message_loss = true},
+            FaultMix{.name = "everything",
+                     .node_crashes = true,
+                     .store_outages = true,
+                     .isolated_hosts = true,
+                     .spot_preemptions = true,
+                     .failing_machines = true,
+                     .cloud_outages = true,
+                     .message_loss = true,
+                     .submission_burst = true},
+            FaultMix{.name = "deaf", .lost_commands = true},
+            FaultMix{.name = "copies",
+                     .node_crashes = true,
+                     .isolated_hosts = true,
+                     .spot_preemptions = true,
+                     .duplicate_requests = true,
+                     .nodes = 5},
+            FaultMix{.name = "alone", .isolated_controllers = true, .nodes = 5},
+            FaultMix{.name = "flapping", .rapid_crashes = true, .nodes = 5},
+            FaultMix{.name = "all_new",
+                     .store_outages = true,
+                     .isolated_hosts = true,
+                     .message_loss = true,
+                     .lost_commands = true,
+                     .duplicate_requests = true,
+                     .isolated_controllers = true,
+                     .rapid_crashes = true,
+                     .nodes = 5}),
+        testing::Values(1, 2, 3)),
     [](const auto& info) {
       return std::string(std::get<0>(info.param).name) + "_" +
              std::to_string(std::get<1>(info.param));
@@ -135,20 +171,21 @@
 // ---- The checker can fail ----
 
 TEST(Checker, CatchesAStartBesideARunningTask) {
-  Scenario s(11);
+  Scenario scenario(11);
   // Every start order is copied into the next answer to another worker.
   Json stolen;
   std::string from;
   bool done = false;
-  s.world.tamper = [&](const std::string&, const HttpRequest& request, HttpResponse& r) {
-    if (done || request.target != "/v1/report" || r.status != 200) return;
-    auto out = Json::parse(r.body);
+  scenario.network.alter_response = [&](const std::string&, const HttpRequest& request,
+                                        HttpResponse& response) {
+    if (done || request.target != "/v1/report" || response.status != 200) return;
+    auto out = Json::parse(response.body);
     const auto host = Json::parse(request.body)["host"].get<std::string>();
     // A machine with work of its own would refuse it for want of room.
     const bool empty = Json::parse(request.body)["pieces"].empty() && out["orders"].empty();
     if (!stolen.is_null() && host != from && empty) {
       out["orders"].push_back(stolen);
-      r.body = out.dump();
+      response.body = out.dump();
       done = true;
       return;
     }
@@ -159,87 +196,101 @@
     }
   };
   for (int i = 0; i < 6; ++i) {
-    Scenario::Ask a;
-    a.truth.team = "blue";
-    a.spec.cpus = 12;
-    a.spec.run_s = 100;
-    a.spec.image = "img";
-    a.spec.image_gb = 0.01;
-    s.submit(a);
+    Submission job;
+    job.requirements.team = "blue";
+    job.workload.cpus = 12;
+    job.workload.run_s = 100;
+    job.workload.image = "img";
+    job.workload.image_gb = 0.01;
+    scenario.users.submit(job);
   }
-  s.world.run_until(200);
-  EXPECT_TRUE(s.checker.found("ran_twice")) << s.checker.text();
+  scenario.run_until(200);
+  EXPECT_TRUE(scenario.checker.violated("ran_twice")) << scenario.checker.report();
 }
 
 TEST(Checker, CatchesDoneBeforeItIsTrue) {
-  Scenario s(12);
+  Scenario scenario(12);
   bool done = false;
-  s.world.tamper = [&](const std::string&, const HttpRequest& request, HttpResponse& r) {
+  scenario.network.alter_response = [&](const std::string&, const HttpRequest& request,
+                                        HttpResponse& response) {
     if (done || request.method != "GET" || request.target.rfind("/v2/runs/", 0) != 0 ||
-        r.status != 200)
+        response.status != 200)
       return;
-    auto out = Json::parse(r.body);
+    auto out = Json::parse(response.body);
     if (out["stage"] != "running") return;
     out["stage"] = "done";
-    r.body = out.dump();
+    response.body = out.dump();
     done = true;
   };
-  play(s, {"tampered"}, 200);
-  EXPECT_TRUE(s.checker.found("not_done")) << s.checker.text();
+  run_randomized(scenario, {"tampered"}, 200);
+  EXPECT_TRUE(scenario.checker.violated("not_done")) << scenario.checker.report();
 }
 
-void submit_and_cancel(Scenario& s, double run_s, Duration when) {
-  Scenario::Ask a;
-  a.truth.team = "blue";
-  a.spec.cpus = 1;
-  a.spec.run_s = run_s;
-  a.spec.image = "img";
-  const auto id = s.submit(a);
-  s.world.at(when, [&s, id] { s.cancel(id); });
+void submit_and_cancel(Scenario& scenario, double run_s, Duration when) {
+  Submission job;
+  job.requirements.team = "blue";
+  job.workload.cpus = 1;
+  job.workload.run_s = run_s;
+  job.workload.image = "img";
+  const auto id = scenario.users.submit(job);
+  scenario.simulator.schedule(when, [&scenario, id] { scenario.users.cancel(id); });
 }
 
 TEST(Checker, CatchesACancelledTaskLeftRunning) {
-  Scenario s(13);
-  s.world.tamper = [](const std::string&, const HttpRequest& request, HttpResponse& r) {
-    take_out(request, r, [](const Json& c) { return c["verb"] == "kill"; });
-  };
-  s.world.drop = [](const std::string&, const std::string&, const HttpRequest& request) {
-    return request.target == "/orders";
+  Scenario scenario(13);
+  scenario.network.alter_response = [](const std::string&, const HttpRequest& request,
+                                       HttpResponse& response) {
+    remove_commands(request, response, [](const Json& c) { return c["verb"] == "kill"; });
   };
-  submit_and_cancel(s, 200, 40s);
-  s.world.run_until(150);
-  EXPECT_TRUE(s.checker.found("ran_cancelled")) << s.checker.text();
+  drop_direct_commands(scenario.network);
+  submit_and_cancel(scenario, 200, 40s);
+  scenario.run_until(150);
+  EXPECT_TRUE(scenario.checker.violated("ran_cancelled")) << scenario.checker.report();
 }
 
 TEST(Checker, CatchesAForgottenJob) {
-  Scenario s(14);
-  s.world.tamper = [](const std::string&, const HttpRequest& request, HttpResponse& r) {
-    if (request.method == "GET" && request.target.rfind("/v2/runs/", 0) == 0 && r.status == 200)
-      r.status = 404;
+  Scenario scenario(14);
+  scenario.network.alter_response = [](const std::string&, const HttpRequest& request,
+                                       HttpResponse& response) {
+    if (request.method == "GET" && request.target.rfind("/v2/runs/", 0) == 0 &&
+        response.status == 200)
+      response.status = 404;
   };
-  play(s, {"tampered"}, 60);
-  EXPECT_TRUE(s.checker.found("forgotten")) << s.checker.text();
+  run_randomized(scenario, {"tampered"}, 60);
+  EXPECT_TRUE(scenario.checker.violated("forgotten")) << scenario.checker.report();
 }
 
 TEST(Checker, CatchesACancelledJobCalledQueuedAgain) {
-  Scenario s(15);
-  s.world.tamper = [&](const std::string&, const HttpRequest& request, HttpResponse& r) {
-    auto out = Json::parse(r.body, nullptr, false);
+  Scenario scenario(15);
+  scenario.network.alter_response = [&](const std::string&, const HttpRequest& request,
+                                        HttpResponse& response) {
+    auto out = Json::parse(response.body, nullptr, false);
     if (!out.is_object() || out.value("stage", "") != "withdrawn") return;
     if (request.method == "POST") return;
     out["stage"] = "queued";
-    r.body = out.dump();
+    response.body = out.dump();
   };
-  submit_and_cancel(s, 100, 10s);
-  s.world.run_until(60);
-  EXPECT_TRUE(s.checker.found("went_back")) << s.checker.text();
+  submit_and_cancel(scenario, 100, 10s);
+  scenario.run_until(60);
+  EXPECT_TRUE(scenario.checker.violated("went_back")) << scenario.checker.report();
 }
 
 TEST(RandomRuns, RepeatBySeed) {
   const auto once = [](std::uint64_t seed) {
-    Scenario s(seed);
-    play(s, {"everything", true, true, true, true, true, true, true, true}, 120);
-    return std::tuple(s.checker.starts, s.checker.done_tasks, s.state.writes, s.world.rng());
+    Scenario scenario(seed);
+    run_randomized(scenario,
+                   {.name = "everything",
+                    .node_crashes = true,
+                    .store_outages = true,
+                    .isolated_hosts = true,
+                    .spot_preemptions = true,
+                    .failing_machines = true,
+                    .cloud_outages = true,
+                    .message_loss = true,
+                    .submission_burst = true},
+                   120);
+    return std::tuple(scenario.checker.starts, scenario.checker.completed_tasks,
+                      scenario.store.writes, scenario.simulator.next_random());
   };
   EXPECT_EQ(once(5), once(5));
   EXPECT_NE(once(5), once(6));
--- /dev/null
+++ b/tests/sim/environment.hpp
@@ -0,0 +1,29 @@
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "sim/job_states.hpp"
+#include "sim/network.hpp"
+#include "sim/rule_checker.hpp"
+#include "sim/simulator.hpp"
+#include "sim/timing.hpp"
+
+namespace sim {
+
+/// The controller nodes, by index.
+struct NodeList {
+  std::vector<std::string> addresses, names;
+};
+
+/// What surrounds a simulated worker.
+struct Environment {
+  Simulator& simulator;
+  Network& network;
+  RuleChecker& checker;
+  JobStates& jobs;
+  Timing timing;
+  NodeList nodes;
+};
+
+}  // namespace sim
--- /dev/null
+++ b/tests/sim/traffic.hpp
@@ -0,0 +1,25 @@
+#pragma once
+// Requests and responses by what they are, for the hooks of Network.
+
+#include <functional>
+#include <string_view>
+
+#include "sim/json.hpp"
+#include "sim/network.hpp"
+
+namespace sim {
+
+/// Whether a worker's heartbeat was accepted with this response.
+bool is_accepted_heartbeat(const HttpRequest& request, const HttpResponse& response);
+
+/// Whether the request reads or watches keys with this prefix.
+bool reads_prefix(const HttpRequest& request, std::string_view prefix);
+
+/// Removes the commands for which `which` returns true from the response to a heartbeat.
+void remove_commands(const HttpRequest& request, HttpResponse& response,
+                     const std::function<bool(const Json&)>& which);
+
+/// Drops all commands that go to workers directly, not as answers to heartbeats.
+void drop_direct_commands(Network& network);
+
+}  // namespace sim
