--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -3,99 +3,117 @@
 #include "wire/names.hpp"
 
 namespace asterstair::wire {
+namespace {
 
-HttpRequest machine_types_request() { return {"GET", "/machine_types", ""}; }
+constexpr const char* kMachineTypesPath = "/machine_types";
+constexpr const char* kMachinesPath = "/machines";
+constexpr const char* kReturnPath = "/machines/return";
+
+MachineType decode_machine_type(const Json& in) {
+  MachineType type;
+  type.name = text(in, name::kName);
+  type.cpus = number(in, name::kCpus);
+  type.gpus = number_or(in, name::kGpus, 0);
+  type.memory_gb = number(in, name::kMemoryGb);
+  type.cache_gb = number_or(in, name::kCacheGb, 0);
+  type.fetch_gb_per_s = number_or(in, name::kFetch, 0);
+  type.price = number_or(in, name::kPrice, 0);
+  type.spot_price = number_or(in, name::kSpotPrice, type.price);
+  type.boot = Seconds(number_or(in, name::kBoot, 0));
+  for (const auto& zone : list(in, name::kZones)) {
+    if (zone.is_string()) type.zones.push_back(zone.get<std::string>());
+  }
+  return type;
+}
+
+// An unknown state counts as running.
+ListedMachine::State decode_machine_state(const std::string& word) {
+  if (word == "booting") return ListedMachine::State::Booting;
+  if (word == "failed") return ListedMachine::State::Failed;
+  return ListedMachine::State::Running;
+}
+
+ListedMachine decode_listed_machine(const Json& in) {
+  ListedMachine machine;
+  machine.id = text(in, name::kId);
+  // The address may be absent or null.
+  if (optional_member(in, name::kAddress) != nullptr) machine.address = text(in, name::kAddress);
+  machine.type = text(in, name::kType);
+  machine.zone = text(in, name::kZone);
+  machine.spot = flag_or(in, name::kSpot, false);
+  machine.state = decode_machine_state(text(in, name::kState));
+  machine.age = Seconds(number_or(in, name::kAge, 0));
+  return machine;
+}
+
+}  // namespace
+
+HttpRequest machine_types_request() { return {"GET", kMachineTypesPath, ""}; }
 
 std::vector<MachineType> decode_machine_types(const std::string& body) {
   const Json in = parse(body);
-  std::vector<MachineType> out;
-  for (const auto& t : list(in, name::kTypes)) {
-    MachineType type;
-    type.name = text(t, name::kName);
-    type.cpus = number(t, name::kCpus);
-    type.gpus = number_or(t, name::kGpus, 0);
-    type.memory_gb = number(t, name::kMemoryGb);
-    type.cache_gb = number_or(t, name::kCacheGb, 0);
-    type.fetch_gb_per_s = number_or(t, name::kFetch, 0);
-    type.price = number_or(t, name::kPrice, 0);
-    type.spot_price = number_or(t, name::kSpotPrice, type.price);
-    type.boot = Seconds(number_or(t, name::kBoot, 0));
-    for (const auto& z : list(t, name::kZones)) {
-      if (z.is_string()) type.zones.push_back(z.get<std::string>());
-    }
-    out.push_back(std::move(type));
-  }
-  return out;
+  std::vector<MachineType> types;
+  for (const auto& type : list(in, name::kTypes)) types.push_back(decode_machine_type(type));
+  return types;
 }
 
 Json encode_machine_types(const std::vector<MachineType>& types) {
   Json out = Json::array();
-  for (const auto& t : types) {
-    out.push_back({{name::kName, t.name},
-                   {name::kCpus, t.cpus},
-                   {name::kGpus, t.gpus},
-                   {name::kMemoryGb, t.memory_gb},
-                   {name::kCacheGb, t.cache_gb},
-                   {name::kFetch, t.fetch_gb_per_s},
-                   {name::kPrice, t.price},
-                   {name::kSpotPrice, t.spot_price},
-                   {name::kBoot, t.boot.count()},
-                   {name::kZones, t.zones}});
+  for (const auto& type : types) {
+    out.push_back({{name::kName, type.name},
+                   {name::kCpus, type.cpus},
+                   {name::kGpus, type.gpus},
+                   {name::kMemoryGb, type.memory_gb},
+                   {name::kCacheGb, type.cache_gb},
+                   {name::kFetch, type.fetch_gb_per_s},
+                   {name::kPrice, type.price},
+                   {name::kSpotPrice, type.spot_price},
+                   {name::kBoot, type.boot.count()},
+                   {name::kZones, type.zones}});
   }
   return {{name::kTypes, out}};
 }
 
-HttpRequest rent_request(const RentalRequest& r) {
-  Json body = {{name::kRequest, r.request},
-               {name::kType, r.type},
-               {name::kZone, r.zone},
-               {name::kSpot, r.spot},
-               {name::kCount, r.count}};
-  if (r.token != 0) body[name::kToken] = r.token;
-  return {"POST", "/machines", dump(body)};
+HttpRequest rent_request(const RentalRequest& rental) {
+  Json body = {{name::kRequest, rental.request},
+               {name::kType, rental.type},
+               {name::kZone, rental.zone},
+               {name::kSpot, rental.spot},
+               {name::kCount, rental.count}};
+  if (rental.token != 0) body[name::kToken] = rental.token;
+  return {"POST", kMachinesPath, dump(body)};
 }
 
 std::vector<std::string> decode_rented(const std::string& body) {
   const Json in = parse(body);
-  std::vector<std::string> out;
-  for (const auto& m : list(in, name::kMachines)) {
-    if (m.is_string()) out.push_back(m.get<std::string>());
+  std::vector<std::string> machines;
+  for (const auto& machine : list(in, name::kMachines)) {
+    if (machine.is_string()) machines.push_back(machine.get<std::string>());
   }
-  return out;
+  return machines;
 }
 
 HttpRequest return_request(const ReturnOrder& order) {
   Json body = {{name::kMachines, order.machines}};
   if (!order.request.empty()) body[name::kRequest] = order.request;
   if (order.token != 0) body[name::kToken] = order.token;
-  return {"POST", "/machines/return", dump(body)};
+  return {"POST", kReturnPath, dump(body)};
 }
 
 HttpRequest list_request(const std::string& after) {
-  std::string target = "/machines?limit=" + std::to_string(kMostListed);
+  std::string target = std::string(kMachinesPath) + "?limit=" + std::to_string(kMostListed);
   if (!after.empty()) target += "&since=" + after;
   return {"GET", target, ""};
 }
 
 MachinePage decode_machines(const std::string& body) {
   const Json in = parse(body);
-  MachinePage out;
-  for (const auto& m : list(in, name::kMachines)) {
-    ListedMachine machine;
-    machine.id = text(m, name::kId);
-    machine.address = optional_member(m, name::kAddress) != nullptr ? text(m, name::kAddress) : "";
-    machine.type = text(m, name::kType);
-    machine.zone = text(m, name::kZone);
-    machine.spot = flag_or(m, name::kSpot, false);
-    const auto& state = text(m, name::kState);
-    machine.state = state == "booting"  ? ListedMachine::State::Booting
-                    : state == "failed" ? ListedMachine::State::Failed
-                                        : ListedMachine::State::Running;
-    machine.age = Seconds(number_or(m, name::kAge, 0));
-    out.machines.push_back(std::move(machine));
+  MachinePage page;
+  for (const auto& machine : list(in, name::kMachines)) {
+    page.machines.push_back(decode_listed_machine(machine));
   }
-  out.more = flag_or(in, name::kMore, false);
-  return out;
+  page.more = flag_or(in, name::kMore, false);
+  return page;
 }
 
 }  // namespace asterstair::wire
--- a/src/wire/command_writer.cpp
+++ b/src/wire/command_writer.cpp
@@ -4,6 +4,8 @@
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
+#include <optional>
+
 #include "wire/names.hpp"
 #include "wire/worker.hpp"
 
@@ -13,7 +15,7 @@
 constexpr const char* kStart = "run";
 constexpr const char* kStop = "kill";
 constexpr const char* kAcknowledge = "clear";
-// A command's fixed words and numbers, at the most.
+// Most bytes of a command beside its job's name: fixed words and numbers.
 constexpr std::size_t kCommandOverhead = 140;
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
@@ -22,12 +24,15 @@
   writer.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
 }
 
-void write_command(Writer& writer, const Command& command) {
-  writer.StartObject();
+void write_operation(Writer& writer, const Command& command) {
   writer.Key(name::kOp);
   switch (command.op) {
     case Command::Op::Start:
       writer.String(kStart);
+      if (command.interval) {
+        writer.Key(name::kInterval);
+        writer.Double(command.interval->count());
+      }
       break;
     case Command::Op::Stop:
       writer.String(kStop);
@@ -38,10 +43,11 @@
       writer.String(kAcknowledge);
       break;
   }
-  if (command.op == Command::Op::Start && command.interval) {
-    writer.Key(name::kInterval);
-    writer.Double(command.interval->count());
-  }
+}
+
+void write_command(Writer& writer, const Command& command) {
+  writer.StartObject();
+  write_operation(writer, command);
   writer.Key(name::kTask);
   write_text(writer, fmt::format("{}/{}", command.task.job, command.task.index));
   writer.Key(name::kAttempt);
@@ -49,7 +55,9 @@
   writer.EndObject();
 }
 
-void write_commands(Writer& writer, const std::vector<Command>& commands, std::size_t room) {
+// Leaves out the commands at the end that would make the message too long.
+void write_commands(Writer& writer, const std::vector<Command>& commands) {
+  std::size_t room = kLongestAnswer;
   writer.Key(name::kCommands);
   writer.StartArray();
   for (const auto& command : commands) {
@@ -61,45 +69,41 @@
   writer.EndArray();
 }
 
-std::string text_of(const rapidjson::StringBuffer& buffer) {
+std::string encode_message(std::uint64_t token, std::optional<std::uint64_t> epoch,
+                           const std::vector<Command>& commands) {
+  rapidjson::StringBuffer buffer;
+  Writer writer(buffer);
+  writer.StartObject();
+  writer.Key(name::kToken);
+  writer.Uint64(token);
+  if (epoch) {
+    writer.Key(name::kEpoch);
+    writer.Uint64(*epoch);
+  }
+  write_commands(writer, commands);
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
 }  // namespace
 
 std::string encode_commands(std::uint64_t token, const std::vector<Command>& commands) {
-  // Most answers hold no command.
+  // Most answers hold no command, and need no writer.
   if (commands.empty()) {
     return fmt::format(R"({{"{}":{},"{}":[]}})", name::kToken, token, name::kCommands);
   }
-  rapidjson::StringBuffer buffer;
-  Writer writer(buffer);
-  writer.StartObject();
-  writer.Key(name::kToken);
-  writer.Uint64(token);
-  write_commands(writer, commands, kLongestAnswer);
-  writer.EndObject();
-  return text_of(buffer);
+  return encode_message(token, std::nullopt, commands);
 }
 
 std::string encode_direct(std::uint64_t token, std::uint64_t epoch,
                           const std::vector<Command>& commands) {
-  rapidjson::StringBuffer buffer;
-  Writer writer(buffer);
-  writer.StartObject();
-  writer.Key(name::kToken);
-  writer.Uint64(token);
-  writer.Key(name::kEpoch);
-  writer.Uint64(epoch);
-  write_commands(writer, commands, kLongestAnswer);
-  writer.EndObject();
-  return text_of(buffer);
+  return encode_message(token, epoch, commands);
 }
 
 std::string encode_not_leader(const std::string& leader) {
-  Json out = Json::object();
-  if (!leader.empty()) out[name::kLeader] = leader;
-  return dump(out);
+  Json answer = Json::object();
+  if (!leader.empty()) answer[name::kLeader] = leader;
+  return dump(answer);
 }
 
 }  // namespace asterstair::wire
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -5,53 +5,76 @@
 namespace asterstair::wire {
 namespace {
 
+// Version of the message's format. Nodes ignore messages of other versions.
 constexpr std::uint32_t kVersion = 5;
-using Packed =
-    std::tuple<std::uint32_t, std::string, std::string, std::uint64_t, bool, std::uint32_t,
-               std::uint64_t, std::vector<std::tuple<std::string, std::uint32_t, std::uint32_t>>,
-               std::vector<std::string>, std::uint32_t, std::uint32_t>;
+
+// job, done, running
+using PackedCounts = std::tuple<std::string, std::uint32_t, std::uint32_t>;
+
+// The order of the elements is the format.
+using PackedGossip = std::tuple<std::uint32_t,              // version
+                                std::string,                // node
+                                std::string,                // leader
+                                std::uint64_t,              // token
+                                bool,                       // store reachable
+                                std::uint32_t,              // store age
+                                std::uint64_t,              // stepped down token
+                                std::vector<PackedCounts>,  // counts
+                                std::vector<std::string>,   // cancelled
+                                std::uint32_t,              // heartbeat age
+                                std::uint32_t>;             // leader age
+
+std::vector<PackedCounts> pack_counts(const std::vector<PeerCounts>& counts) {
+  std::vector<PackedCounts> packed;
+  packed.reserve(counts.size());
+  for (const auto& job : counts) packed.emplace_back(job.job, job.done, job.running);
+  return packed;
+}
+
+std::vector<PeerCounts> unpack_counts(const std::vector<PackedCounts>& packed) {
+  std::vector<PeerCounts> counts;
+  for (const auto& [job, done, running] : packed) counts.push_back({job, done, running});
+  return counts;
+}
 
 }  // namespace
 
 std::string encode_gossip(const GossipMessage& message) {
-  Packed packed{kVersion,
-                message.node,
-                message.leader,
-                message.token,
-                message.store_reachable,
-                message.store_age_ms,
-                message.stepped_down_token,
-                {},
-                message.cancelled,
-                message.heartbeat_age_ms,
-                message.leader_age_ms};
-  auto& counts = std::get<7>(packed);
-  counts.reserve(message.counts.size());
-  for (const auto& c : message.counts) counts.emplace_back(c.job, c.done, c.running);
-  msgpack::sbuffer out;
-  msgpack::pack(out, packed);
-  return {out.data(), out.size()};
+  const PackedGossip packed{kVersion,
+                            message.node,
+                            message.leader,
+                            message.token,
+                            message.store_reachable,
+                            message.store_age_ms,
+                            message.stepped_down_token,
+                            pack_counts(message.counts),
+                            message.cancelled,
+                            message.heartbeat_age_ms,
+                            message.leader_age_ms};
+  msgpack::sbuffer buffer;
+  msgpack::pack(buffer, packed);
+  return {buffer.data(), buffer.size()};
 }
 
 std::optional<GossipMessage> decode_gossip(const std::string& message) {
   try {
     const auto handle = msgpack::unpack(message.data(), message.size());
-    const auto packed = handle.get().as<Packed>();
-    if (std::get<0>(packed) != kVersion) return std::nullopt;
-    GossipMessage out{std::get<1>(packed),
-                      std::get<2>(packed),
-                      std::get<3>(packed),
-                      std::get<4>(packed),
-                      std::get<5>(packed),
-                      std::get<6>(packed),
-                      {},
-                      std::get<8>(packed),
-                      std::get<9>(packed),
-                      std::get<10>(packed)};
-    for (const auto& [job, done, running] : std::get<7>(packed)) {
-      out.counts.push_back({job, done, running});
-    }
-    return out;
+    const auto packed = handle.get().as<PackedGossip>();
+    const auto& [version, node, leader, token, store_reachable, store_age_ms, stepped_down_token,
+                 counts, cancelled, heartbeat_age_ms, leader_age_ms] = packed;
+    if (version != kVersion) return std::nullopt;
+    GossipMessage gossip;
+    gossip.node = node;
+    gossip.leader = leader;
+    gossip.token = token;
+    gossip.store_reachable = store_reachable;
+    gossip.store_age_ms = store_age_ms;
+    gossip.stepped_down_token = stepped_down_token;
+    gossip.counts = unpack_counts(counts);
+    gossip.cancelled = cancelled;
+    gossip.heartbeat_age_ms = heartbeat_age_ms;
+    gossip.leader_age_ms = leader_age_ms;
+    return gossip;
   } catch (const std::exception&) {
     return std::nullopt;
   }
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -1,5 +1,7 @@
 #pragma once
-// Gossip messages between the nodes, in msgpack. Nothing that a rule rests on travels here.
+/// @file
+/// Gossip messages between the nodes, in msgpack. They are hints: no invariant rests on what
+/// travels here. Package node writes and reads them.
 
 #include <cstdint>
 #include <optional>
@@ -8,33 +10,49 @@
 
 namespace asterstair::wire {
 
-// Longer messages are not sent.
+/// Most bytes of a message between nodes. Longer ones are not sent, and end a connection.
 inline constexpr std::size_t kLargestPeerMessage = std::size_t{256} * 1024;
-// What one entry takes in a message beside its job's name, at the most.
+/// Most bytes that an entry takes in a message beside its job's name.
 inline constexpr std::size_t kPeerEntryOverhead = 16;
 
+/// Counts of a job's tasks, from which the other nodes answer users.
 struct PeerCounts {
   std::string job;
-  std::uint32_t done = 0, running = 0;
+  std::uint32_t done = 0;
+  std::uint32_t running = 0;
 };
 
+/// Age of something that never happened.
 inline constexpr std::uint32_t kUnknownAge = UINT32_MAX;
 
+/// What a node tells the others.
 struct GossipMessage {
+  /// Name of the sender.
   std::string node;
-  std::string leader;  // empty: unknown
+  /// Name of the leader as far as the sender knows; empty: unknown.
+  std::string leader;
+  /// Fencing token of that leader.
   std::uint64_t token = 0;
+  /// Whether the state service answers the sender.
   bool store_reachable = false;
-  std::uint32_t store_age_ms = kUnknownAge;      // since the state service last answered it
-  std::uint64_t stepped_down_token = 0;          // a token of its own that it has given up
-  std::vector<PeerCounts> counts;                // only the leader's
-  std::vector<std::string> cancelled;            // jobs whose cancellation it has confirmed lately
-  std::uint32_t heartbeat_age_ms = kUnknownAge;  // since a worker's heartbeat last reached it
-  std::uint32_t leader_age_ms = kUnknownAge;     // since it last heard from `leader`, another node
+  /// Time since the state service last answered the sender, in milliseconds.
+  std::uint32_t store_age_ms = kUnknownAge;
+  /// Fencing token of a term in which the sender led and stepped down; 0: none.
+  std::uint64_t stepped_down_token = 0;
+  /// Counts of all live jobs; only the leader sends them.
+  std::vector<PeerCounts> counts;
+  /// Jobs whose cancellation the sender has lately confirmed to a user.
+  std::vector<std::string> cancelled;
+  /// Time since a worker's heartbeat last reached the sender, in milliseconds.
+  std::uint32_t heartbeat_age_ms = kUnknownAge;
+  /// Time since the sender last heard from `leader`, if that is another node, in milliseconds.
+  std::uint32_t leader_age_ms = kUnknownAge;
 };
 
+/// Encodes a message. Its length is not bounded here; the caller bounds the lists.
 std::string encode_gossip(const GossipMessage& message);
-// None: malformed, or of a version this program does not know.
+
+/// Decodes a message; none if it is malformed or of a version that this program does not know.
 std::optional<GossipMessage> decode_gossip(const std::string& message);
 
 }  // namespace asterstair::wire
--- a/src/wire/state.cpp
+++ b/src/wire/state.cpp
@@ -5,10 +5,55 @@
 namespace asterstair::wire {
 namespace {
 
-Item decode_one(const Json& in) {
+constexpr const char* kStoreLeasesPath = "/grants";
+// Bytes of a change in a request beside its key and value, generously.
+constexpr std::size_t kChangeOverhead = 64;
+
+std::string store_lease_path(std::uint64_t store_lease) {
+  return std::string(kStoreLeasesPath) + "/" + std::to_string(store_lease);
+}
+
+std::string milliseconds_text(Duration duration) {
+  return std::to_string(std::chrono::duration_cast<milliseconds>(duration).count());
+}
+
+Json encode_conditions(const std::vector<Condition>& conditions) {
+  Json out = Json::array();
+  for (const auto& condition : conditions) {
+    out.push_back({{name::kKey, condition.key}, {name::kVersion, condition.version}});
+  }
+  return out;
+}
+
+Json encode_change(const Change& change) {
+  if (!change.value) return {{name::kDelete, change.key}};
+  Json put = {{name::kPut, change.key}, {name::kValue, *change.value}};
+  if (change.store_lease) put[name::kStoreLease] = *change.store_lease;
+  return put;
+}
+
+Json encode_changes(const std::vector<Change>& changes) {
+  Json out = Json::array();
+  for (const auto& change : changes) out.push_back(encode_change(change));
+  return out;
+}
+
+Item decode_listed_item(const Json& in) {
   return {text(in, name::kKey), member(in, name::kValue), integer(in, name::kVersion)};
 }
 
+Item decode_event(const Json& in) {
+  Item item;
+  item.version = integer(in, name::kVersion);
+  if (optional_member(in, name::kPut) != nullptr) {
+    item.key = text(in, name::kPut);
+    item.value = member(in, name::kValue);
+  } else {
+    item.key = text(in, name::kDelete);
+  }
+  return item;
+}
+
 }  // namespace
 
 HttpRequest get_request(const std::string& key) { return {"GET", "/keys/" + key, ""}; }
@@ -21,54 +66,40 @@
 }
 
 HttpRequest txn_request(const Txn& txn) {
-  Json conditions = Json::array();
-  for (const auto& c : txn.conditions) {
-    conditions.push_back({{name::kKey, c.key}, {name::kVersion, c.version}});
-  }
-  Json changes = Json::array();
-  for (const auto& c : txn.changes) {
-    if (c.value) {
-      Json put = {{name::kPut, c.key}, {name::kValue, *c.value}};
-      if (c.store_lease) put[name::kStoreLease] = *c.store_lease;
-      changes.push_back(std::move(put));
-    } else {
-      changes.push_back({{name::kDelete, c.key}});
-    }
-  }
   return {"POST", "/txn",
-          dump({{name::kIf, std::move(conditions)}, {name::kThen, std::move(changes)}})};
+          dump({{name::kIf, encode_conditions(txn.conditions)},
+                {name::kThen, encode_changes(txn.changes)}})};
 }
 
 HttpRequest create_lease_request(Duration ttl) {
-  const auto ms = std::chrono::duration_cast<milliseconds>(ttl).count();
-  return {"POST", "/grants", dump({{name::kTtl, ms}})};
+  const auto ttl_ms = std::chrono::duration_cast<milliseconds>(ttl).count();
+  return {"POST", kStoreLeasesPath, dump({{name::kTtl, ttl_ms}})};
 }
 
 HttpRequest renew_lease_request(std::uint64_t store_lease) {
-  return {"POST", "/grants/" + std::to_string(store_lease) + "/touch", ""};
+  return {"POST", store_lease_path(store_lease) + "/touch", ""};
 }
 
 HttpRequest revoke_lease_request(std::uint64_t store_lease) {
-  return {"DELETE", "/grants/" + std::to_string(store_lease), ""};
+  return {"DELETE", store_lease_path(store_lease), ""};
 }
 
 HttpRequest watch_request(const std::string& prefix, std::uint64_t after, Duration wait) {
-  const auto ms = std::chrono::duration_cast<milliseconds>(wait).count();
   return {"GET",
           "/watch?prefix=" + prefix + "&since=" + std::to_string(after) +
-              "&blockMs=" + std::to_string(ms),
+              "&blockMs=" + milliseconds_text(wait),
           ""};
 }
 
-Item decode_item(const std::string& body) { return decode_one(parse(body)); }
+Item decode_item(const std::string& body) { return decode_listed_item(parse(body)); }
 
 ItemPage decode_items(const std::string& body) {
   const Json in = parse(body);
-  ItemPage out;
-  for (const auto& item : list(in, name::kItems)) out.items.push_back(decode_one(item));
-  out.more = flag_or(in, name::kMore, false);
-  out.revision = integer(in, name::kRevision);
-  return out;
+  ItemPage page;
+  for (const auto& item : list(in, name::kItems)) page.items.push_back(decode_listed_item(item));
+  page.more = flag_or(in, name::kMore, false);
+  page.revision = integer(in, name::kRevision);
+  return page;
 }
 
 std::uint64_t decode_revision(const std::string& body) {
@@ -77,11 +108,11 @@
 
 std::vector<std::string> decode_failed(const std::string& body) {
   const Json in = parse(body);
-  std::vector<std::string> out;
+  std::vector<std::string> keys;
   for (const auto& key : list(in, name::kFailed)) {
-    if (key.is_string()) out.push_back(key.get<std::string>());
+    if (key.is_string()) keys.push_back(key.get<std::string>());
   }
-  return out;
+  return keys;
 }
 
 std::uint64_t decode_store_lease(const std::string& body) {
@@ -90,24 +121,15 @@
 
 ItemPage decode_events(const std::string& body) {
   const Json in = parse(body);
-  ItemPage out;
-  for (const auto& e : list(in, name::kEvents)) {
-    Item item;
-    item.version = integer(e, name::kVersion);
-    if (optional_member(e, name::kPut) != nullptr) {
-      item.key = text(e, name::kPut);
-      item.value = member(e, name::kValue);
-    } else {
-      item.key = text(e, name::kDelete);
-    }
-    out.items.push_back(std::move(item));
-  }
-  out.revision = integer(in, name::kRevision);
-  return out;
+  ItemPage events;
+  for (const auto& event : list(in, name::kEvents)) events.items.push_back(decode_event(event));
+  events.revision = integer(in, name::kRevision);
+  return events;
 }
 
 std::size_t change_size(const Change& change) {
-  return change.key.size() + 64 + (change.value ? dump(*change.value).size() : 0);
+  const std::size_t value_size = change.value ? dump(*change.value).size() : 0;
+  return change.key.size() + kChangeOverhead + value_size;
 }
 
 }  // namespace asterstair::wire
