--- a/src/base/features.cpp
+++ b/src/base/features.cpp
@@ -1,43 +1,22 @@
 #include "base/features.hpp"
 
-#include <toml++/toml.h>
-
-#include <fstream>
 #include <map>
-#include <sstream>
+
+#include "base/toml_file.hpp"
 
 namespace asterstair {
 namespace {
 
-[[noreturn]] void fail(const std::string& field, const std::string& why) {
-  throw SettingsError("features: " + field + ": " + why);
-}
-
-toml::table parse(std::string_view toml_text) {
-  try {
-    return toml::parse(toml_text);
-  } catch (const toml::parse_error& e) {
-    std::ostringstream out;
-    out << "line " << e.source().begin.line;
-    fail(out.str(), std::string(e.description()));
-  }
+[[noreturn]] void fail(const std::string& field, const std::string& problem) {
+  throw SettingsError("features: " + field + ": " + problem);
 }
 
-}  // namespace
-
-Features parse_features(std::string_view toml_text) {
-  const toml::table root = parse(toml_text);
-  Features out;
+void read_features(const toml::table& section, Features& features) {
   const std::map<std::string, bool*, std::less<>> known{
-      {"durable_provisioning", &out.durable_provisioning},
-      {"machine_duties", &out.durable_provisioning},  // its name before 0.2, accepted for good
+      {"durable_provisioning", &features.durable_provisioning},
+      {"machine_duties", &features.durable_provisioning},  // its name before 0.2, accepted for good
   };
-  for (const auto& [key, value] : root) {
-    if (key.str() != "features") fail(std::string(key.str()), "there is no such section");
-  }
-  const auto* features = root["features"].as_table();
-  if (features == nullptr) fail("features", "this section is missing");
-  for (const auto& [key, value] : *features) {
+  for (const auto& [key, value] : section) {
     const std::string field = "features." + std::string(key.str());
     const auto feature = known.find(key.str());
     if (feature == known.end()) fail(field, "there is no such feature");
@@ -45,15 +24,26 @@
     if (!on) fail(field, "true or false is needed");
     *feature->second = *on;
   }
-  return out;
+}
+
+}  // namespace
+
+Features parse_features(std::string_view toml_text) {
+  const toml::table root = parse_toml(toml_text, "features");
+  for (const auto& [key, value] : root) {
+    if (key.str() != "features") fail(std::string(key.str()), "there is no such section");
+  }
+  const auto* section = root["features"].as_table();
+  if (section == nullptr) fail("features", "this section is missing");
+  Features features;
+  read_features(*section, features);
+  return features;
 }
 
 Features load_features(const std::string& path) {
-  std::ifstream in(path);
-  if (!in) fail(path, "the file cannot be read");
-  std::ostringstream text;
-  text << in.rdbuf();
-  return parse_features(text.str());
+  const auto text = read_text_file(path);
+  if (!text) fail(path, "the file cannot be read");
+  return parse_features(*text);
 }
 
 }  // namespace asterstair
--- a/src/base/features.hpp
+++ b/src/base/features.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// What is switched on by a features file (TOML); see deploy/features.toml.
+/// @file
+/// Optional features, switched on by a features file (TOML); see deploy/features.toml.
 
 #include <string>
 #include <string_view>
@@ -8,14 +9,17 @@
 
 namespace asterstair {
 
+/// What is switched on. Without a features file everything is off.
 struct Features {
-  // A lease and an operation log for provisioning machines, see docs/design/provisioning.md.
-  // docs/design/provisioning.md.
+  /// A lease and an operation log for the provisioning of machines; see
+  /// docs/design/provisioning.md.
   bool durable_provisioning = false;
 };
 
-// Throw SettingsError, which names the field in one line.
+/// Parses the text of a features file. Throws SettingsError, which names the field in one line.
 Features parse_features(std::string_view toml_text);
+
+/// Reads and parses a features file. Throws SettingsError. `main` calls it.
 Features load_features(const std::string& path);
 
 }  // namespace asterstair
--- a/src/base/model.cpp
+++ b/src/base/model.cpp
@@ -14,12 +14,13 @@
 }
 
 std::uint32_t MachineType::fits(const JobSpec& job) const {
+  // Keeps a quotient that is whole, but for rounding, from losing a task.
   constexpr double kSlack = 1e-6;
-  double n = job.tasks;
-  if (job.cpus > 0) n = std::min(n, std::floor(cpus / job.cpus + kSlack));
-  if (job.gpus > 0) n = std::min(n, std::floor(gpus / job.gpus + kSlack));
-  if (job.memory_gb > 0) n = std::min(n, std::floor(memory_gb / job.memory_gb + kSlack));
-  return static_cast<std::uint32_t>(std::max(0.0, n));
+  double tasks = job.tasks;
+  if (job.cpus > 0) tasks = std::min(tasks, std::floor(cpus / job.cpus + kSlack));
+  if (job.gpus > 0) tasks = std::min(tasks, std::floor(gpus / job.gpus + kSlack));
+  if (job.memory_gb > 0) tasks = std::min(tasks, std::floor(memory_gb / job.memory_gb + kSlack));
+  return static_cast<std::uint32_t>(std::max(0.0, tasks));
 }
 
 }  // namespace asterstair
