--- a/src/sched/accelerator_reserve.cpp
+++ b/src/sched/accelerator_reserve.cpp
@@ -1,7 +1,6 @@
 #include "sched/accelerator_reserve.hpp"
 
 #include <algorithm>
-#include <cmath>
 
 namespace asterstair::sched {
 
@@ -10,14 +9,6 @@
   for (const PlanMachine& machine : snapshot.machines) add(machine.free);
 }
 
-// Returns the free accelerators that have processors beside them for a job of the usual shape.
-double AcceleratorReserve::usable_accelerators(const Resources& free) const {
-  if (free.gpus <= 0) return 0;
-  if (cpus_per_gpu_ <= 0) return free.gpus;
-  const double by_cpus = std::floor(std::max(0.0, free.cpus) / cpus_per_gpu_ + kRounding);
-  return std::min(free.gpus, by_cpus);
-}
-
 std::uint32_t AcceleratorReserve::tasks_that_fit_on(const PlanJob& planned,
                                                     const PlanMachine& machine) const {
   const JobSpec& spec = *planned.job;
--- a/src/sched/accelerator_reserve.hpp
+++ b/src/sched/accelerator_reserve.hpp
@@ -2,6 +2,8 @@
 /// @file
 /// Keeps processors beside free accelerators for the jobs that need both. Used by the planner.
 
+#include <algorithm>
+#include <cmath>
 #include <cstdint>
 
 #include "sched/snapshot.hpp"
@@ -28,7 +30,13 @@
   std::uint32_t tasks_that_fit_on(const PlanJob& planned, const PlanMachine& machine) const;
 
  private:
-  double usable_accelerators(const Resources& free) const;
+  // Returns the free accelerators that have processors beside them for a job of the usual shape.
+  double usable_accelerators(const Resources& free) const {
+    if (free.gpus <= 0) return 0;
+    if (cpus_per_gpu_ <= 0) return free.gpus;
+    const double by_cpus = std::floor(std::max(0.0, free.cpus) / cpus_per_gpu_ + kRounding);
+    return std::min(free.gpus, by_cpus);
+  }
 
   double keep_gpus_;
   double cpus_per_gpu_;
--- a/src/sched/resources.cpp
+++ b/src/sched/resources.cpp
@@ -1,15 +1,9 @@
 #include "sched/resources.hpp"
 
 #include <algorithm>
-#include <cmath>
 
 namespace asterstair::sched {
 
-double whole_tasks(double available, double per_task) {
-  if (per_task <= 0) return kUnlimitedTasks;
-  return std::min(kUnlimitedTasks, std::floor(available / per_task + kRounding));
-}
-
 bool fits(const JobSpec& job, const Resources& free) {
   return free.cpus + kRounding >= job.cpus && free.gpus + kRounding >= job.gpus &&
          free.memory_gb + kRounding >= job.memory_gb;
--- a/src/sched/resources.hpp
+++ b/src/sched/resources.hpp
@@ -3,6 +3,8 @@
 /// Amounts of a machine's resources, and how many tasks fit into them. Pure functions, called by
 /// the planner, the leader's snapshot and the autoscaler.
 
+#include <algorithm>
+#include <cmath>
 #include <cstdint>
 
 #include "base/model.hpp"
@@ -43,7 +45,10 @@
 /// Returns how many whole tasks the available amount of one resource allows, as a whole number. A
 /// negative result means that the resource is already overcommitted. A task that needs none of the
 /// resource is not limited by it.
-double whole_tasks(double available, double per_task);
+inline double whole_tasks(double available, double per_task) {
+  if (per_task <= 0) return kUnlimitedTasks;
+  return std::min(kUnlimitedTasks, std::floor(available / per_task + kRounding));
+}
 
 /// Returns whether one task of the job fits into the free resources.
 bool fits(const JobSpec& job, const Resources& free);
