--- a/src/autoscale/desired_machines.hpp
+++ b/src/autoscale/desired_machines.hpp
@@ -1,49 +1,37 @@
 #pragma once
-// How many machines of which type the waiting work calls for, beyond those that are pending: a pure
-// function.
+/// \file
+/// How many machines of which type the waiting work calls for, beyond the pending ones. Pure;
+/// called by ScaleOut.
 
 #include <functional>
-#include <map>
 #include <string>
 #include <vector>
 
+#include "autoscale/pool.hpp"
 #include "cloud/catalog.hpp"
 #include "leader/term.hpp"
 
 namespace asterstair::autoscale {
 
-// Machines of one type, zone and kind.
-struct Pool {
-  std::string type, zone;
-  bool spot = false;
-  auto operator<=>(const Pool&) const = default;
-};
-
-// Rented, and not yet heard of.
-struct PendingMachine {
-  Pool pool;
-  TimePoint since{};       // the rental
-  TimePoint first_seen{};  // by this leader
-};
-
+/// Machines of one type to rent, in any zone that the job allows.
 struct DesiredMachines {
-  std::string type;
-  std::size_t count = 0;
-  bool spot = false;             // may be spot machines
-  const JobSpec* job = nullptr;  // the first that calls for them: its zone rules hold
+  std::string type;              ///< name of the machine type
+  std::size_t count = 0;         ///< number of machines
+  bool spot = false;             ///< spot machines; otherwise on-demand machines
+  const JobSpec* job = nullptr;  ///< the first job that calls for them; its zone rule applies
 };
 
-// What is known of the cloud.
+/// What the leader knows of the cloud's offers.
 struct Market {
   const cloud::Catalog& catalog;
-  std::function<bool(const Pool&)> refused;      // lately, for want of capacity
-  std::function<double(const Pool&)> loss_rate;  // a second
-  // How long the arrays that need no accelerator will queue, as things are.
+  std::function<bool(const Pool&)> is_refused;   ///< whether the pool had no capacity lately
+  std::function<double(const Pool&)> loss_rate;  ///< expected losses of one machine, a second
+  /// How long job arrays without accelerators will queue on the machines at hand.
   Seconds backlog{0};
 };
 
+/// Returns the machines to rent for `demand`, in the order of the first job that calls for each.
 std::vector<DesiredMachines> desired_machines(const std::vector<leader::Demand>& demand,
-                                              const std::map<std::string, PendingMachine>& pending,
-                                              const Market& market);
+                                              const PendingMachines& pending, const Market& market);
 
 }  // namespace asterstair::autoscale
--- a/src/autoscale/inventory.hpp
+++ b/src/autoscale/inventory.hpp
@@ -1,55 +1,57 @@
 #pragma once
-// Machines between the cloud and the fleet: rented and not yet heard of, returned and perhaps still
-// listed, and those that nobody accounts for. The cloud's lists lag and go back, so what they lack
-// is believed only after a while. Pure state.
+/// \file
+/// Machines between the cloud and the cluster. Owned by Autoscaler. Pure state.
 
 #include <map>
 #include <set>
 #include <string>
 #include <vector>
 
-#include "autoscale/desired_machines.hpp"
+#include "autoscale/orphan_tracker.hpp"
+#include "autoscale/pool.hpp"
 #include "base/settings.hpp"
 #include "cluster/machine_table.hpp"
-#include "provisioning/records.hpp"
 
 namespace asterstair::autoscale {
 
+/// Knows the machines that are rented and have not sent a heartbeat, and those that are returned
+/// and may still be listed. The cloud's lists lag and can go back in time, so a machine that is
+/// absent from a list is believed to be gone only after a timeout.
 class Inventory {
  public:
   explicit Inventory(const Settings& settings) : settings_(settings) {}
 
-  void rented(const std::string& machine, const Pool& pool, TimePoint since, TimePoint now);
-  void returned(const std::string& machine, TimePoint now);
-  // Takes over a whole list.
-  void listed(const std::vector<ListedMachine>& machines, const cluster::MachineTable& term,
-              TimePoint now);
-  // Machines that have been heard of are not pending any more.
-  void update(const cluster::MachineTable& term, TimePoint now);
-
-  const std::map<std::string, PendingMachine>& pending() const { return pending_; }
-  // Returned: lists may show them a while longer.
-  bool is_returned(const std::string& machine) const { return returned_.count(machine) != 0; }
-  bool listed_last(const std::string& machine) const { return last_list_.count(machine) != 0; }
-  // Rented by this or an earlier leader, and surely not there (any more).
+  /// Tells that a machine was granted. `since` is the time of the rental.
+  void on_rented(const std::string& machine, const Pool& pool, TimePoint since, TimePoint now);
+  /// Tells that the cloud has confirmed a return.
+  void on_returned(const std::string& machine, TimePoint now);
+  /// Applies a complete list of the cloud's machines. `known` are those that the leader knows.
+  void on_list(const std::vector<ListedMachine>& machines, const cluster::MachineTable& known,
+               TimePoint now);
+  /// Removes pending machines that the leader knows by now.
+  void remove_joined(const cluster::MachineTable& known, TimePoint now);
+
+  const PendingMachines& pending() const { return pending_; }
+  /// Whether the machine was returned lately: lists may show it still.
+  bool was_returned(const std::string& machine) const { return returned_.count(machine) != 0; }
+  /// Whether the latest list has the machine.
+  bool is_listed(const std::string& machine) const { return listed_.count(machine) != 0; }
+  /// Returns, once, the pending machines that are given up because the cloud does not list them.
   std::vector<std::string> take_vanished();
-  // Machines that nobody accounts for, with when they were first seen; settled ones for a while.
-  struct Unaccounted {
-    provisioning::OrphanedInstance::State state = provisioning::OrphanedInstance::State::Waiting;
-    TimePoint since{};
-  };
-  const std::map<std::string, Unaccounted>& unaccounted() const { return unaccounted_; }
+  const OrphanTracker& orphans() const { return orphans_; }
 
  private:
-  void add_orphan(const std::string& machine, TimePoint now);
-  void settle_orphan(const std::string& machine, provisioning::OrphanedInstance::State state);
+  void add_unknown(const std::vector<ListedMachine>& machines, const cluster::MachineTable& known,
+                   TimePoint now);
+  void give_up_missing(const cluster::MachineTable& known, TimePoint now);
+  void prune_returned(TimePoint now);
 
   const Settings& settings_;
-  std::map<std::string, PendingMachine> pending_;
-  std::map<std::string, TimePoint> returned_;
-  std::set<std::string> last_list_;
+  PendingMachines pending_;
+  std::map<std::string, TimePoint> returned_;  ///< time of the confirmation, by machine
+  std::set<std::string> listed_;               ///< machines of the latest list
   std::vector<std::string> vanished_;
-  std::map<std::string, Unaccounted> unaccounted_;
+  OrphanTracker orphans_;
 };
 
 }  // namespace asterstair::autoscale
--- /dev/null
+++ b/src/autoscale/machine_lister.hpp
@@ -0,0 +1,47 @@
+#pragma once
+/// \file
+/// Lists the cloud's machines at intervals. Owned by Autoscaler.
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "base/runtime.hpp"
+#include "base/stoppable.hpp"
+#include "cloud/cloud.hpp"
+
+namespace asterstair::autoscale {
+
+/// Reads the list page by page; one list at a time.
+class MachineLister : public Stoppable<MachineLister> {
+ public:
+  using OnList = std::function<void(const std::vector<ListedMachine>&)>;
+
+  MachineLister(Runtime& runtime, cloud::Cloud& cloud) : runtime_(runtime), cloud_(cloud) {}
+
+  /// Begins a list if the last one began `interval` ago or earlier and the cloud's rate limit has
+  /// room. `on_list` receives the complete list; it is not called if a page fails.
+  void list_if_due(Duration interval, OnList on_list);
+  /// When the first list was complete; TimePoint{} before.
+  TimePoint first_completed() const { return first_completed_; }
+  /// Whether a list has been complete in this term.
+  bool has_completed() const { return first_completed_ != TimePoint{}; }
+
+ private:
+  /// A list of which some pages have been read.
+  struct Progress {
+    std::vector<ListedMachine> machines;
+    OnList on_list;
+  };
+  void request_page(const std::string& after, const std::shared_ptr<Progress>& progress);
+  void on_page(std::optional<wire::MachinePage> page, const std::shared_ptr<Progress>& progress);
+  void complete(const Progress& progress);
+
+  Runtime& runtime_;
+  cloud::Cloud& cloud_;
+  bool listing_ = false;
+  TimePoint last_begun_{}, first_completed_{};
+};
+
+}  // namespace asterstair::autoscale
--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -8,124 +8,125 @@
 namespace asterstair::autoscale {
 namespace {
 
-constexpr Seconds kUnknownBoot{60};  // of a type that is not known
-constexpr double kBootTimeout = 4;   // times the nominal boot time
-constexpr auto kBootExtra = 20s;
-constexpr double kIdleBoots = 1;     // an idle machine is kept so many boot times
-constexpr int kAwaitedBoots = 5;     // longer, while a gang may be waiting for it
-constexpr double kTightBoots = 2.5;  // boots may take that much longer than stated
+using provisioning::ReturnReason;
+
+// Boot time assumed of a type that the catalog lacks.
+constexpr Seconds kUnknownBootTime{60};
+// The boot timeout: a multiple of the type's nominal boot time, and a margin for the first
+// heartbeat.
+constexpr double kBootTimeoutBoots = 4;
+constexpr auto kBootTimeoutMargin = 20s;
+// An idle machine is kept for as many boot times as a replacement would take, and longer while a
+// gang may need it.
+constexpr double kIdleBoots = 1;
+constexpr int kGangIdleFactor = 5;
+// Work with less slack than this many boot times cannot wait for a boot: boots may take that much
+// longer than nominal.
+constexpr double kTightBoots = 2.5;
+// A new leader waits this long after its first list before it returns unlisted machines.
 constexpr auto kFailoverTimeout = 4s;
-constexpr int kUnresponsiveLeases = 3;      // so long a machine may seem not to hear answers
-constexpr auto kLeaseExpiredTimeout = 20s;  // beyond the lease, before a silent machine is returned
+// A machine that seems not to receive answers is returned after this many leases.
+constexpr int kUnresponsiveLeases = 3;
+// A machine whose lease has expired is returned this long after the expiry.
+constexpr auto kLeaseExpiredTimeout = 20s;
 
 }  // namespace
 
-void ReturnPolicy::listed(const std::vector<ListedMachine>& machines, TimePoint first_list,
-                          TimePoint now) {
-  for (const auto& m : machines) {
-    if (m.state == ListedMachine::State::Failed && !inventory_.is_returned(m.id)) {
-      due_[m.id] = provisioning::ReturnReason::Stopped;
-    }
+void ReturnPolicy::on_list(const std::vector<ListedMachine>& machines, TimePoint first_list,
+                           TimePoint now) {
+  for (const auto& machine : machines) {
+    const bool failed = machine.state == ListedMachine::State::Failed;
+    if (failed && !inventory_.was_returned(machine.id)) due_[machine.id] = ReturnReason::Stopped;
   }
-  // A take-over waits for every machine that may hold tasks. Of those that neither report nor are
-  // listed, a return tells at once that they are gone, instead of their leases running out.
+  // A new leader waits for every machine that may hold tasks. The return of one that neither sends
+  // heartbeats nor is listed confirms that it is gone, sooner than its lease expires.
   if (term_.reconciled() || now - first_list <= kFailoverTimeout) return;
-  for (const auto& [id, m] : term_.machines().all()) {
-    if (!m.reconciled && !m.lease_expired && !inventory_.listed_last(id)) {
-      due_.emplace(id, provisioning::ReturnReason::Unlisted);
-    }
+  for (const auto& [id, machine] : term_.machines().all()) {
+    const bool awaited = !machine.reconciled && !machine.lease_expired;
+    if (awaited && !inventory_.is_listed(id)) due_.emplace(id, ReturnReason::Unlisted);
   }
 }
 
-void ReturnPolicy::update(TimePoint now) {
+void ReturnPolicy::evaluate(TimePoint now) {
   find_failed_boots(now);
-  std::map<std::string, TimePoint> idle;
+  std::map<std::string, TimePoint> idle_since;
   auto room = free_room();
-  for (const auto& [id, m] : term_.machines().all()) {
-    if (const auto reason = unusable(m, now)) {
+  for (const auto& [id, machine] : term_.machines().all()) {
+    if (const auto reason = reason_unusable(machine, now)) {
       due_.emplace(id, *reason);
       continue;
     }
-    // What is being emptied stays closed, whatever came before.
-    if (!m.reconciled || m.lease_expired || m.has_active_attempts()) continue;
-    const auto since = idle_since_.find(id);
-    idle[id] = since == idle_since_.end() ? now : since->second;
-    release(m, idle[id], room, now);
+    if (!machine.reconciled || machine.lease_expired || machine.has_active_attempts()) continue;
+    const auto before = idle_since_.find(id);
+    const TimePoint since = before == idle_since_.end() ? now : before->second;
+    idle_since[id] = since;
+    drain_or_return(machine, since, room, now);
   }
-  idle_since_ = std::move(idle);
+  idle_since_ = std::move(idle_since);
 }
 
-provisioning::Returns ReturnPolicy::due(std::size_t most) {
-  std::erase_if(due_, [this](const auto& d) { return !still_due(d.first, d.second); });
+provisioning::Returns ReturnPolicy::due_returns(std::size_t limit) {
+  std::erase_if(due_, [this](const auto& due) { return !is_still_due(due.first, due.second); });
   provisioning::Returns out;
   for (const auto& [machine, reason] : due_) {
-    if (out.size() >= most) break;
+    if (out.size() >= limit) break;
     out[machine] = reason;
   }
   return out;
 }
 
-// Between the decision and the order a machine may have come up, or have shown tasks.
-bool ReturnPolicy::still_due(const std::string& machine, provisioning::ReturnReason reason) const {
+// Since the machine became due it may have come up, or shown tasks.
+bool ReturnPolicy::is_still_due(const std::string& machine, ReturnReason reason) const {
   if (provisioning::gives_up_work(reason)) return true;
-  if (reason == provisioning::ReturnReason::FailedBoot) {
-    return term_.machines().find(machine) == nullptr;
-  }
+  if (reason == ReturnReason::FailedBoot) return term_.machines().find(machine) == nullptr;
   return term_.known_empty(machine);
 }
 
 void ReturnPolicy::find_failed_boots(TimePoint now) {
-  for (const auto& [id, p] : inventory_.pending()) {
+  for (const auto& [id, pending] : inventory_.pending()) {
     if (term_.machines().find(id) != nullptr) continue;
-    const auto boot = to_duration(boot_time(p.pool.type) * kBootTimeout) + kBootExtra;
-    // A new leader first hears from the machines that are up.
-    const bool failed = now - p.since > boot && now - p.first_seen > settings_.lease + kBootExtra;
-    if (failed && due_.emplace(id, provisioning::ReturnReason::FailedBoot).second) {
-      log::info("machine {} has not come up; returned", id);
-    }
+    const auto boot_timeout =
+        to_duration(boot_time(pending.pool.type) * kBootTimeoutBoots) + kBootTimeoutMargin;
+    // A new leader gives running machines the time to send it their first heartbeat.
+    const bool observed = now - pending.first_seen > settings_.lease + kBootTimeoutMargin;
+    if (now - pending.since <= boot_timeout || !observed) continue;
+    const bool added = due_.emplace(id, ReturnReason::FailedBoot).second;
+    if (added) log::info("machine {} exceeded its boot timeout; it is returned", id);
   }
 }
 
 Seconds ReturnPolicy::boot_time(const std::string& type) const {
-  const auto* t = catalog_.find(type);
-  return t != nullptr ? t->boot : kUnknownBoot;
+  const auto* known = catalog_.find(type);
+  return known != nullptr ? known->boot : kUnknownBootTime;
 }
 
-std::optional<provisioning::ReturnReason> ReturnPolicy::unusable(const cluster::Machine& m,
-                                                                 TimePoint now) const {
-  if (m.unresponsive_since && now - *m.unresponsive_since > settings_.lease * kUnresponsiveLeases) {
-    return provisioning::ReturnReason::Unreachable;
+// Returns why the machine is of no use, whatever its heartbeats say; nothing if it is usable.
+std::optional<ReturnReason> ReturnPolicy::reason_unusable(const cluster::Machine& machine,
+                                                          TimePoint now) const {
+  const auto& unresponsive_since = machine.unresponsive_since;
+  if (unresponsive_since && now - *unresponsive_since > settings_.lease * kUnresponsiveLeases) {
+    return ReturnReason::Unreachable;
   }
-  if (m.lease_expired && now - m.last_answered > settings_.lease + kLeaseExpiredTimeout) {
-    return provisioning::ReturnReason::LeaseExpired;
+  const Duration expired_timeout = settings_.lease + kLeaseExpiredTimeout;
+  if (machine.lease_expired && now - machine.last_answered > expired_timeout) {
+    return ReturnReason::LeaseExpired;
   }
   return std::nullopt;
 }
 
-bool ReturnPolicy::idle_for_long(const cluster::Machine& m, TimePoint idle_since,
-                                 const FreeRoom& room, TimePoint now) const {
-  const Duration idle = now - idle_since;
-  const Duration keep = to_duration(boot_time(m.type) * kIdleBoots);
-  if (!term_.reconciled() || idle <= keep) return false;
-  if (idle <= keep * kAwaitedBoots && gang_waits_for(m)) return false;
-  return may_spare(m, room);
-}
-
-// An idle machine is drained first, and returned once a later turn still finds it without tasks:
-// exited tasks wait for their results to be durable.
-void ReturnPolicy::release(const cluster::Machine& m, TimePoint idle_since, FreeRoom& room,
-                           TimePoint now) {
-  using provisioning::ReturnReason;
-  if (m.service != cluster::Machine::Service::InUse) {
-    if (m.attempts.empty()) {
-      due_.emplace(m.id, m.faulty ? ReturnReason::Faulty : ReturnReason::Idle);
-    }
+// Drains a machine that is faulty or surplus. A later evaluation declares it due, once no attempts
+// are left on it: exited ones stay until their results are durable.
+void ReturnPolicy::drain_or_return(const cluster::Machine& machine, TimePoint idle_since,
+                                   FreeRoom& room, TimePoint now) {
+  if (machine.service != cluster::Machine::Service::InUse) {
+    const auto reason = machine.faulty ? ReturnReason::Faulty : ReturnReason::Idle;
+    if (machine.attempts.empty()) due_.emplace(machine.id, reason);
     return;
   }
-  if (!m.faulty && !idle_for_long(m, idle_since, room, now)) return;
-  term_.drain(m.id);
-  // No longer there for what may come.
-  const auto* type = catalog_.find(m.type);
+  if (!machine.faulty && !is_surplus(machine, idle_since, room, now)) return;
+  term_.drain(machine.id);
+  // The machines that are examined next must leave enough room without this one.
+  const auto* type = catalog_.find(machine.type);
   if (type == nullptr) return;
   if (type->gpus > 0) {
     room.gpus -= type->gpus;
@@ -134,47 +135,64 @@
   }
 }
 
-// Whether enough room stays free without the machine for what may arrive before another could be
-// up: work that cannot wait for a boot.
-bool ReturnPolicy::may_spare(const cluster::Machine& machine, const FreeRoom& room) const {
+// Whether the machine has been idle for long and nothing is expected to need it.
+bool ReturnPolicy::is_surplus(const cluster::Machine& machine, TimePoint idle_since,
+                              const FreeRoom& room, TimePoint now) const {
+  const Duration idle = now - idle_since;
+  const Duration idle_timeout = to_duration(boot_time(machine.type) * kIdleBoots);
+  if (!term_.reconciled() || idle <= idle_timeout) return false;
+  if (idle <= idle_timeout * kGangIdleFactor && gang_may_need(machine)) return false;
+  return is_spare(machine, room);
+}
+
+// Whether the other machines have room for work that cannot wait for a boot.
+bool ReturnPolicy::is_spare(const cluster::Machine& machine, const FreeRoom& room) const {
   const auto* type = catalog_.find(machine.type);
   if (type == nullptr) return true;
-  const bool gpu = type->gpus > 0;
-  double expected = 0;
-  for (const auto& a : term_.arrivals()) {
-    if ((a.job->gpus > 0) != gpu || !a.job->allows_type(machine.type)) continue;
-    if (a.slack >= kTightBoots * type->boot.count()) continue;
-    expected += a.job->tasks * (gpu ? a.job->gpus : a.job->cpus);
+  const double expected = expected_arrivals(*type);
+  // The machine is idle, so all of its room is part of the free room.
+  return type->gpus > 0 ? room.gpus - type->gpus >= expected : room.cpus - type->cpus >= expected;
+}
+
+// Estimates the CPUs, or the accelerators of an accelerator type, that work with little slack will
+// need within one boot time of the type, at the rate of recent arrivals.
+double ReturnPolicy::expected_arrivals(const MachineType& type) const {
+  const bool gpu = type.gpus > 0;
+  double arrived = 0;
+  for (const auto& arrival : term_.arrivals()) {
+    const JobSpec& job = *arrival.job;
+    if ((job.gpus > 0) != gpu || !job.allows_type(type.name)) continue;
+    if (arrival.slack >= kTightBoots * type.boot.count()) continue;
+    arrived += job.tasks * (gpu ? job.gpus : job.cpus);
   }
-  expected *= type->boot.count() / seconds(leader::kArrivalWindow);
-  // The machine itself is idle: its room is all free.
-  return gpu ? room.gpus - type->gpus >= expected : room.cpus - type->cpus >= expected;
+  return arrived * (type.boot.count() / seconds(leader::kArrivalWindow));
 }
 
-// Whether a gang waits that this machine could serve once others have come: returned one by one as
-// they idle, the machines of a gang would never be there together.
-bool ReturnPolicy::gang_waits_for(const cluster::Machine& machine) const {
+// Whether a gang is waiting that could run on this machine together with others. If the machines of
+// a gang were returned one by one as they become idle, they would never be there together.
+bool ReturnPolicy::gang_may_need(const cluster::Machine& machine) const {
   const auto* type = catalog_.find(machine.type);
   if (type == nullptr) return false;
-  sched::PlanMachine m;
-  m.type = type;
-  m.zone = machine.zone;
-  m.spot = machine.spot;
-  const auto& demand = term_.demand();
-  return std::any_of(demand.begin(), demand.end(), [&](const leader::Demand& d) {
-    return d.job->gang() && sched::allowed_on(*d.job, m) && type->fits(*d.job) > 0;
+  sched::PlanMachine candidate;
+  candidate.type = type;
+  candidate.zone = machine.zone;
+  candidate.spot = machine.spot;
+  const auto& all_demand = term_.demand();
+  return std::any_of(all_demand.begin(), all_demand.end(), [&](const leader::Demand& demand) {
+    const JobSpec& job = *demand.job;
+    return job.gang() && sched::allowed_on(job, candidate) && type->fits(job) > 0;
   });
 }
 
 ReturnPolicy::FreeRoom ReturnPolicy::free_room() const {
   FreeRoom out;
-  for (const auto& [id, m] : term_.machines().all()) {
-    const auto* t = catalog_.find(m.type);
-    if (t == nullptr || !term_.usable(m)) continue;
-    if (t->gpus > 0) {
-      out.gpus += t->gpus - m.usage.used.gpus;
+  for (const auto& [id, machine] : term_.machines().all()) {
+    const auto* type = catalog_.find(machine.type);
+    if (type == nullptr || !term_.usable(machine)) continue;
+    if (type->gpus > 0) {
+      out.gpus += type->gpus - machine.usage.used.gpus;
     } else {
-      out.cpus += t->cpus - m.usage.used.cpus;
+      out.cpus += type->cpus - machine.usage.used.cpus;
     }
   }
   return out;
--- a/src/autoscale/return_policy.hpp
+++ b/src/autoscale/return_policy.hpp
@@ -1,7 +1,9 @@
 #pragma once
-// Which machines are to be returned, and why.
+/// \file
+/// Decides which machines are returned, and why. Owned by ScaleIn, which executes the returns.
 
 #include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -13,38 +15,43 @@
 
 namespace asterstair::autoscale {
 
+/// Finds machines that are idle, faulty, unusable or failed to boot. Drains idle and faulty ones
+/// before it declares them due for return.
 class ReturnPolicy {
  public:
   ReturnPolicy(const Settings& settings, const cloud::Catalog& catalog, leader::Term& term,
                const Inventory& inventory)
       : settings_(settings), catalog_(catalog), term_(term), inventory_(inventory) {}
 
-  // Takes over what a list shows: machines that have stopped, and, if the term is not settled long
-  // after `first_list`, those that it waits for in vain.
-  void listed(const std::vector<ListedMachine>& machines, TimePoint first_list, TimePoint now);
-  // Looks at all machines; drains those that are not needed.
-  void update(TimePoint now);
-  // Machines to be returned now, at most so many. Those that must be empty are.
-  provisioning::Returns due(std::size_t most);
-  void returned(const std::string& machine) { due_.erase(machine); }
+  /// Applies a complete list of the cloud's machines. Machines that the cloud lists as failed
+  /// become due. So do unlisted ones that a leader still waits for, `kFailoverTimeout` after
+  /// `first_list`, the completion of its first list.
+  void on_list(const std::vector<ListedMachine>& machines, TimePoint first_list, TimePoint now);
+  /// Examines all machines. Drains those that are not needed.
+  void evaluate(TimePoint now);
+  /// Returns up to `limit` machines to be returned now. Those that must be empty are empty.
+  provisioning::Returns due_returns(std::size_t limit);
+  /// Tells that the cloud has confirmed the machine's return.
+  void on_returned(const std::string& machine) { due_.erase(machine); }
 
  private:
-  // What is free for new work, on machines with accelerators and on those without.
+  /// Room for new work on usable machines.
   struct FreeRoom {
-    double cpus = 0, gpus = 0;
+    double cpus = 0;  ///< on machines without accelerators
+    double gpus = 0;  ///< on machines with accelerators
   };
 
   void find_failed_boots(TimePoint now);
-  void release(const cluster::Machine& machine, TimePoint idle_since, FreeRoom& room,
-               TimePoint now);
-  // Why it is of no use, whatever it says of itself.
-  std::optional<provisioning::ReturnReason> unusable(const cluster::Machine& machine,
-                                                     TimePoint now) const;
-  bool idle_for_long(const cluster::Machine& machine, TimePoint idle_since, const FreeRoom& room,
-                     TimePoint now) const;
-  bool gang_waits_for(const cluster::Machine& machine) const;
-  bool may_spare(const cluster::Machine& machine, const FreeRoom& room) const;
-  bool still_due(const std::string& machine, provisioning::ReturnReason reason) const;
+  std::optional<provisioning::ReturnReason> reason_unusable(const cluster::Machine& machine,
+                                                            TimePoint now) const;
+  void drain_or_return(const cluster::Machine& machine, TimePoint idle_since, FreeRoom& room,
+                       TimePoint now);
+  bool is_surplus(const cluster::Machine& machine, TimePoint idle_since, const FreeRoom& room,
+                  TimePoint now) const;
+  bool gang_may_need(const cluster::Machine& machine) const;
+  bool is_spare(const cluster::Machine& machine, const FreeRoom& room) const;
+  double expected_arrivals(const MachineType& type) const;
+  bool is_still_due(const std::string& machine, provisioning::ReturnReason reason) const;
   FreeRoom free_room() const;
   Seconds boot_time(const std::string& type) const;
 
@@ -52,7 +59,7 @@
   const cloud::Catalog& catalog_;
   leader::Term& term_;
   const Inventory& inventory_;
-  std::map<std::string, TimePoint> idle_since_;
+  std::map<std::string, TimePoint> idle_since_;  ///< by machine without active tasks
   provisioning::Returns due_;
 };
 
--- a/src/cloud/catalog.cpp
+++ b/src/cloud/catalog.cpp
@@ -8,13 +8,13 @@
   std::set<std::string> zones;
   for (const auto& [name, type] : types_) {
     if (!job.allows_type(name) || type.fits(job) == 0) continue;
-    for (const auto& z : type.zones) {
-      if (!job.zone || *job.zone == z) zones.insert(z);
+    for (const auto& zone : type.zones) {
+      if (!job.zone || *job.zone == zone) zones.insert(zone);
     }
   }
-  // All of a gang at once, at most half of it in one zone: never in one zone alone.
-  const bool apart = job.gang() && job.spread && job.tasks > 1;
-  return apart ? zones.size() > 1 && !job.one_zone : !zones.empty();
+  // A spread gang starts as a whole, with at most half of its tasks in one zone.
+  const bool needs_two_zones = job.gang() && job.spread && job.tasks > 1;
+  return needs_two_zones ? zones.size() > 1 && !job.one_zone : !zones.empty();
 }
 
 }  // namespace asterstair::cloud
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -5,93 +5,115 @@
 namespace asterstair::cloud {
 namespace {
 
-constexpr auto kTimeout = 5s;
-// From clouds that check the fencing token: a newer one has been seen. The order stays as it is: if
-// this node holds the provisioning lease no more, its successor completes it.
+constexpr auto kRequestTimeout = 5s;
+// Pause after the cloud has rejected a call: other nodes use the same limit.
+constexpr auto kRateLimitPause = 500ms;
+// Part of the rate limit that this node uses: calls of a previous leader may count still.
+constexpr double kRateShare = 0.8;
+
+constexpr int kOk = 200;
+constexpr int kBadRequest = 400;
+// Sent by clouds that check fencing tokens and have seen a newer one. The outcome counts as
+// unknown: the successor completes the operation.
 constexpr int kFenced = 409;
-// A new leader may start while calls of the last one still count.
-constexpr double kCallShare = 0.8;
+constexpr int kTooManyRequests = 429;
+constexpr int kUnavailable = 503;
 
-template <typename F>
-auto guarded(F decode) -> std::optional<decltype(decode())> {
+// Returns what `decode` returns, or nothing if it throws.
+template <typename Decode>
+auto decoded_or_nothing(Decode decode) -> std::optional<decltype(decode())> {
   try {
     return decode();
-  } catch (const std::exception& e) {
-    log::error("cloud: malformed answer: {}", e.what());
+  } catch (const std::exception& error) {
+    log::error("cloud: malformed answer: {}", error.what());
     return std::nullopt;
   }
 }
 
+Cloud::RentResult rent_result(const HttpResponse& response) {
+  using Outcome = Cloud::RentResult::Outcome;
+  switch (response.status) {
+    case kOk: {
+      auto machines = decoded_or_nothing([&] { return wire::decode_rented(response.body); });
+      if (!machines) return {Outcome::Unknown, {}};
+      return {Outcome::Rented, std::move(*machines)};
+    }
+    case kUnavailable: {
+      const bool no_capacity = response.body.find("capacity") != std::string::npos;
+      return {no_capacity ? Outcome::NoCapacity : Outcome::NotExecuted, {}};
+    }
+    case kTooManyRequests:
+      return {Outcome::NotExecuted, {}};
+    case kFenced:
+      log::error("cloud: a rental was fenced off: {}", response.body);
+      return {Outcome::Unknown, {}};
+    case kBadRequest:
+      log::error("cloud: a rental was rejected as invalid: {}", response.body);
+      return {Outcome::NoCapacity, {}};
+    default:
+      return {Outcome::Unknown, {}};
+  }
+}
+
 }  // namespace
 
-Cloud::Cloud(Runtime& runtime, const Settings& s)
-    : runtime_(runtime), address_(s.cloud_address), calls_(s.cloud_rps * kCallShare, s.cloud_rps) {}
+Cloud::Cloud(Runtime& runtime, const Settings& settings)
+    : runtime_(runtime),
+      address_(settings.cloud_address),
+      calls_(settings.cloud_rps * kRateShare, settings.cloud_rps) {}
 
 bool Cloud::may_call() { return calls_.wait_for(1, runtime_.now()) <= Duration::zero(); }
 
 void Cloud::count_call() { calls_.force(1, runtime_.now()); }
 
-void Cloud::call(HttpRequest request, HttpCallback done) {
+void Cloud::send_counted(HttpRequest request, HttpCallback done) {
   count_call();
   send(std::move(request), std::move(done));
 }
 
 void Cloud::send(HttpRequest request, HttpCallback done) {
-  runtime_.http(address_, std::move(request), kTimeout,
-                [this, done = std::move(done)](HttpResponse r) {
-                  if (r.status == 429) calls_.refused(runtime_.now(), 500ms);
-                  done(std::move(r));
+  runtime_.http(address_, std::move(request), kRequestTimeout,
+                [this, done = std::move(done)](HttpResponse response) {
+                  if (response.status == kTooManyRequests) {
+                    calls_.refused(runtime_.now(), kRateLimitPause);
+                  }
+                  done(std::move(response));
                 });
 }
 
-void Cloud::machine_types(std::function<void(std::optional<std::vector<MachineType>>)> done) {
-  call(wire::machine_types_request(), [done = std::move(done)](const HttpResponse& r) {
-    if (r.status != 200) {
-      done(std::nullopt);
-      return;
-    }
-    done(guarded([&] { return wire::decode_machine_types(r.body); }));
-  });
+void Cloud::fetch_machine_types(std::function<void(std::optional<std::vector<MachineType>>)> done) {
+  send_counted(
+      wire::machine_types_request(), [done = std::move(done)](const HttpResponse& response) {
+        if (response.status != kOk) {
+          done(std::nullopt);
+          return;
+        }
+        done(decoded_or_nothing([&] { return wire::decode_machine_types(response.body); }));
+      });
 }
 
 void Cloud::rent_machines(const wire::RentalRequest& request,
                           std::function<void(RentResult)> done) {
-  send(wire::rent_request(request), [done = std::move(done)](const HttpResponse& r) {
-    RentResult out;
-    if (r.status == 200) {
-      if (auto machines = guarded([&] { return wire::decode_rented(r.body); })) {
-        out = {RentResult::Outcome::Rented, std::move(*machines)};
-      }
-    } else if (r.status == 503 && r.body.find("capacity") != std::string::npos) {
-      out.outcome = RentResult::Outcome::NoCapacity;
-    } else if (r.status == kFenced) {
-      log::error("cloud: a rental was refused: {}", r.body);
-    } else if (r.status == 429 || r.status == 503) {
-      out.outcome = RentResult::Outcome::NotExecuted;
-    } else if (r.status == 400) {
-      log::error("cloud refused a rental: {}", r.body);
-      out.outcome = RentResult::Outcome::NoCapacity;
-    }
-    done(std::move(out));
-  });
+  send(wire::rent_request(request),
+       [done = std::move(done)](const HttpResponse& response) { done(rent_result(response)); });
 }
 
 void Cloud::return_machines(const wire::ReturnOrder& order,
                             std::function<void(ReturnOutcome)> done) {
-  send(wire::return_request(order), [done = std::move(done)](const HttpResponse& r) {
-    if (r.status == kFenced) log::error("cloud: a return was refused: {}", r.body);
-    done(r.status == 200 ? ReturnOutcome::Gone : ReturnOutcome::Unknown);
+  send(wire::return_request(order), [done = std::move(done)](const HttpResponse& response) {
+    if (response.status == kFenced) log::error("cloud: a return was fenced off: {}", response.body);
+    done(response.status == kOk ? ReturnOutcome::Gone : ReturnOutcome::Unknown);
   });
 }
 
-void Cloud::list(const std::string& after,
-                 std::function<void(std::optional<wire::MachinePage>)> done) {
-  call(wire::list_request(after), [done = std::move(done)](const HttpResponse& r) {
-    if (r.status != 200) {
+void Cloud::list_machines(const std::string& after,
+                          std::function<void(std::optional<wire::MachinePage>)> done) {
+  send_counted(wire::list_request(after), [done = std::move(done)](const HttpResponse& response) {
+    if (response.status != kOk) {
       done(std::nullopt);
       return;
     }
-    done(guarded([&] { return wire::decode_machines(r.body); }));
+    done(decoded_or_nothing([&] { return wire::decode_machines(response.body); }));
   });
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -85,7 +85,7 @@
       }
     });
   }
-  cloud_.machine_types([this](std::optional<std::vector<MachineType>> types) {
+  cloud_.fetch_machine_types([this](std::optional<std::vector<MachineType>> types) {
     if (types && !types->empty()) {
       const bool first = !types_fresh_;
       types_fresh_ = true;
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "autoscale/autoscale.hpp"
+#include "autoscale/autoscaler.hpp"
 #include "base/features.hpp"
 #include "base/runtime.hpp"
 #include "base/settings.hpp"
