--- a/src/leader/election.cpp
+++ b/src/leader/election.cpp
@@ -5,14 +5,14 @@
 namespace asterstair::leader {
 namespace {
 
-lease::Options options(const Settings& settings) {
-  lease::Options out;
-  out.key = store::kLeaderKey;
-  out.node = settings.node;
-  out.ttl = leader_ttl(settings);
-  out.contention_policy = lease::ContentionPolicy::Wait;
-  out.expiry_record_key = store::kPreviousLeadersExpiredKey;
-  return out;
+lease::Options lease_options(const Settings& settings) {
+  lease::Options options;
+  options.key = store::kLeaderKey;
+  options.node = settings.node;
+  options.ttl = leader_ttl(settings);
+  options.contention_policy = lease::ContentionPolicy::Wait;
+  options.expiry_record_key = store::kPreviousLeadersExpiredKey;
+  return options;
 }
 
 lease::Events lease_events(Election::Events events) {
@@ -26,6 +26,6 @@
 }  // namespace
 
 Election::Election(Runtime& runtime, store::Store& store, const Settings& settings, Events events)
-    : lease_(runtime, store, options(settings), lease_events(std::move(events))) {}
+    : lease_(runtime, store, lease_options(settings), lease_events(std::move(events))) {}
 
 }  // namespace asterstair::leader
