--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -1,6 +1,7 @@
 #include "frontend/frontend.hpp"
 
 #include "base/log.hpp"
+#include "frontend/responses.hpp"
 #include "wire/user.hpp"
 
 namespace asterstair::frontend {
@@ -9,24 +10,17 @@
 constexpr std::size_t kMostFinals = 8000;  // final records kept in memory, some 250 bytes each
 constexpr int kCancelTries = 4;
 constexpr Duration kSecondRead = 250ms;  // at the least; users wait 2 s for both
-// Users wait at least a second before they ask again, and longer if told.
-constexpr std::chrono::seconds kComeBack{1};
-
-HttpResponse failure(int status, std::string_view message) {
-  return {status, wire::encode_error(message)};
-}
 
 }  // namespace
 
 Frontend::Frontend(Runtime& runtime, store::Store& store, const Settings& settings,
-                   const cloud::Catalog& catalog)
-    : runtime_(runtime), store_(store), settings_(settings), catalog_(catalog) {}
-
-HttpResponse Frontend::unavailable() const {
-  auto r = failure(503, "the state service does not answer");
-  r.retry_after = kComeBack;
-  return r;
-}
+                   const cloud::Catalog& catalog,
+                   std::function<void(const std::string&)> on_cancelled)
+    : runtime_(runtime),
+      store_(store),
+      settings_(settings),
+      catalog_(catalog),
+      tell_(std::move(on_cancelled)) {}
 
 void Frontend::remember(const std::string& id, const store::FinalRecord& record) {
   if (!finals_.emplace(id, record).second) return;
@@ -82,11 +76,11 @@
       });
 }
 
-void Frontend::answer_known(const std::string& id, const Found& found, const Respond& respond,
+void Frontend::answer_known(const std::string& id, const Found& found, const HttpCallback& respond,
                             HttpResponse if_absent) {
   switch (found.outcome) {
     case Found::Outcome::Unavailable:
-      respond(unavailable());
+      respond(store_unavailable_response());
       return;
     case Found::Outcome::Absent:
       respond(std::move(if_absent));
@@ -107,17 +101,17 @@
   }
 }
 
-void Frontend::status(const std::string& id, const Respond& respond) {
+void Frontend::status(const std::string& id, const HttpCallback& respond) {
   if (!wire::valid_job_id(id)) {
-    respond(failure(404, "no such job"));
+    respond(unknown_job_response());
     return;
   }
   look_up(id, [this, id, respond](const Found& found) {
-    answer_known(id, found, respond, failure(404, "no such job"));
+    answer_known(id, found, respond, unknown_job_response());
   });
 }
 
-void Frontend::submit(const std::string& body, const Respond& respond) {
+void Frontend::submit(const std::string& body, const HttpCallback& respond) {
   std::string id;
   HttpResponse refusal;
   JobSpec job;
@@ -128,18 +122,17 @@
     const auto team = settings_.teams.find(job.team);
     const double n = job.gang() ? job.tasks : 1;
     if (team == settings_.teams.end()) {
-      refusal = failure(422, "unknown team");
+      refusal = error_response(422, "unknown team");
     } else if ((team->second.cpus_max > 0 && job.cpus * n > team->second.cpus_max + 1e-6) ||
                (team->second.gpus_max > 0 && job.gpus * n > team->second.gpus_max + 1e-6)) {
-      refusal = failure(422, "the job needs more than its team's limit");
+      refusal = error_response(422, "the job needs more than its team's limit");
     } else if (!catalog_.known()) {
-      refusal = failure(503, "the machine types are not known yet");
-      refusal.retry_after = kComeBack;
+      refusal = retry_later_response("the machine types are not known yet");
     } else if (!catalog_.can_hold(job)) {
-      refusal = failure(422, "a task fits no allowed machine type");
+      refusal = error_response(422, "a task fits no allowed machine type");
     }
   } catch (const wire::DecodeError& e) {
-    refusal = failure(400, e.what());
+    refusal = error_response(400, e.what());
   }
   if (refusal.status == 0) {
     accept(job, respond);
@@ -155,13 +148,13 @@
   });
 }
 
-void Frontend::accept(const JobSpec& job, const Respond& respond) {
+void Frontend::accept(const JobSpec& job, const HttpCallback& respond) {
   wire::Txn txn;
   const std::string id = job.id;
   txn.conditions = {{store::live_key(id), 0}, {store::final_key(id), 0}};
   auto value = store::encode_live(job, runtime_.wall());
   if (wire::dump(value).size() > settings_.value_bytes) {
-    respond(failure(400, "the description is too long"));
+    respond(error_response(400, "the description is too long"));
     return;
   }
   txn.changes = {{store::live_key(id), std::move(value)}};
@@ -170,33 +163,33 @@
                  if (r.outcome == store::WriteOutcome::Committed) {
                    respond({201, wire::encode_status(id, JobStage::Queued)});
                  } else if (r.outcome == store::WriteOutcome::NotDone) {
-                   respond(unavailable());
+                   respond(store_unavailable_response());
                  } else {
                    // Known already, or the write may have been carried out: the store tells.
                    look_up(id, [this, id, respond](const Found& found) {
-                     answer_known(id, found, respond, unavailable());
+                     answer_known(id, found, respond, store_unavailable_response());
                    });
                  }
                });
 }
 
-void Frontend::cancel(const std::string& id, const Respond& respond) {
+void Frontend::cancel(const std::string& id, const HttpCallback& respond) {
   if (!wire::valid_job_id(id)) {
-    respond(failure(404, "no such job"));
+    respond(unknown_job_response());
     return;
   }
   cancel_once(id, kCancelTries, respond);
 }
 
-void Frontend::cancel_once(const std::string& id, int tries, const Respond& respond) {
+void Frontend::cancel_once(const std::string& id, int tries, const HttpCallback& respond) {
   look_up(id, [this, id, tries, respond](const Found& found) {
     if (found.outcome != Found::Outcome::Live) {
       if (found.outcome == Found::Outcome::Final && found.final.cancelled) tell_(id);
-      answer_known(id, found, respond, failure(404, "no such job"));
+      answer_known(id, found, respond, unknown_job_response());
       return;
     }
     if (tries == 0) {
-      respond(unavailable());
+      respond(store_unavailable_response());
       return;
     }
     auto txn = store::end_job(found.live.job, found.version, true, settings_.value_bytes,
@@ -207,7 +200,7 @@
                      tell_(id);
                      respond({200, wire::encode_status(id, JobStage::Cancelled)});
                    } else if (r.outcome == store::WriteOutcome::NotDone) {
-                     respond(unavailable());
+                     respond(store_unavailable_response());
                    } else {
                      cancel_once(id, tries - 1, respond);
                    }
--- a/src/frontend/frontend.hpp
+++ b/src/frontend/frontend.hpp
@@ -15,26 +15,22 @@
 
 namespace asterstair::frontend {
 
-using Respond = std::function<void(HttpResponse)>;
-
 struct Counts {
   std::uint32_t done = 0, running = 0;
 };
+using CountsByJob = std::unordered_map<std::string, Counts>;
 
 class Frontend {
  public:
   Frontend(Runtime& runtime, store::Store& store, const Settings& settings,
-           const cloud::Catalog& catalog);
-
-  void submit(const std::string& body, const Respond& respond);
-  void status(const std::string& id, const Respond& respond);
-  void cancel(const std::string& id, const Respond& respond);
+           const cloud::Catalog& catalog, std::function<void(const std::string&)> on_cancelled);
 
-  // Called for each cancellation that a user is about to be told of.
-  void on_cancelled(std::function<void(const std::string&)> tell) { tell_ = std::move(tell); }
+  void submit(const std::string& body, const HttpCallback& respond);
+  void status(const std::string& id, const HttpCallback& respond);
+  void cancel(const std::string& id, const HttpCallback& respond);
 
   // For display only; told by the leader.
-  void set_counts(std::unordered_map<std::string, Counts> counts) { counts_ = std::move(counts); }
+  void set_counts(CountsByJob counts) { counts_ = std::move(counts); }
 
  private:
   struct Found {
@@ -45,18 +41,17 @@
   };
 
   void look_up(const std::string& id, std::function<void(Found)> done);
-  void answer_known(const std::string& id, const Found& found, const Respond& respond,
+  void answer_known(const std::string& id, const Found& found, const HttpCallback& respond,
                     HttpResponse if_absent);
-  void accept(const JobSpec& job, const Respond& respond);
-  void cancel_once(const std::string& id, int tries, const Respond& respond);
+  void accept(const JobSpec& job, const HttpCallback& respond);
+  void cancel_once(const std::string& id, int tries, const HttpCallback& respond);
   void remember(const std::string& id, const store::FinalRecord& record);
-  HttpResponse unavailable() const;
 
   Runtime& runtime_;
   store::Store& store_;
   const Settings& settings_;
   const cloud::Catalog& catalog_;
-  std::function<void(const std::string&)> tell_ = [](const std::string&) {};
+  std::function<void(const std::string&)> tell_;
   std::unordered_map<std::string, Counts> counts_;
   // How jobs ended never changes, so this alone may be kept; the least recently added goes.
   std::unordered_map<std::string, store::FinalRecord> finals_;
--- /dev/null
+++ b/src/node/heartbeat_endpoint.cpp
@@ -0,0 +1,82 @@
+#include "node/heartbeat_endpoint.hpp"
+
+#include <algorithm>
+
+#include "base/log.hpp"
+#include "frontend/responses.hpp"
+#include "wire/worker.hpp"
+
+namespace asterstair {
+namespace {
+
+// A peer that the state service answers says so in a gossip message that is made at most so long
+// after a failure here: StoreProbe asks at least once a second, and a message is sent every second.
+constexpr auto kPeerDetectionDelay = 2200ms;
+// A state service that has not answered for longer counts as failing.
+constexpr auto kStoreQuietTimeout = 2500ms;
+
+using frontend::error_response;
+
+}  // namespace
+
+HeartbeatEndpoint::HeartbeatEndpoint(Runtime& runtime, const Settings& settings,
+                                     const store::Store& store, const leader::Election& election,
+                                     const TermRunner& terms, PeerGossip& gossip)
+    : runtime_(runtime),
+      settings_(settings),
+      store_(store),
+      election_(election),
+      terms_(terms),
+      gossip_(gossip) {}
+
+HttpResponse HeartbeatEndpoint::answer(std::string body) {
+  gossip_.on_heartbeat();
+  if (!election_.leading()) return not_leader_response();
+  auto* term = terms_.term();
+  // A valid lease is not enough: a renewal may succeed again after an outage before the watch has
+  // told what was cancelled meanwhile.
+  if (!election_.lease_valid() || term == nullptr || !term->view_is_fresh()) {
+    return error_response(503, "not entitled to give commands at present");
+  }
+  Heartbeat heartbeat;
+  try {
+    heartbeat = wire::decode_heartbeat(std::move(body));
+  } catch (const wire::DecodeError& error) {
+    log::error("malformed heartbeat: {}", error.what());
+    return error_response(400, error.what());
+  }
+  if (heartbeat.token > election_.token()) {
+    return error_response(503, "a newer leader has been seen");
+  }
+  term->suspend_launches(may_miss_cancellations());
+  return term->on_heartbeat(heartbeat);
+}
+
+HttpResponse HeartbeatEndpoint::not_leader_response() const {
+  std::string leader = election_.leader();
+  if (leader.empty()) leader = gossip_.announced_leader();
+  // An unreachable node is not named: each try of it costs a worker seconds of its lease, and a
+  // worker that tries the nodes in turn finds whoever takes over.
+  if (gossip_.peers().is_unreachable(leader, runtime_.now())) leader.clear();
+  return {421, wire::encode_not_leader(leader == settings_.node ? "" : leader)};
+}
+
+// Whether other nodes may confirm cancellations that this one cannot see: the state service fails
+// it, or has long not answered, and not every peer has said that it is the same for it. In an
+// outage for all nobody confirms anything, and work goes on being started.
+bool HeartbeatEndpoint::may_miss_cancellations() const {
+  const auto now = runtime_.now();
+  auto failing_since = store_.failing_since();
+  if (failing_since == TimePoint{} && now - store_.last_answer() > kStoreQuietTimeout) {
+    failing_since = store_.last_answer();
+  }
+  if (failing_since == TimePoint{}) return false;
+  const auto& peers = gossip_.peers().statuses();
+  return std::any_of(peers.begin(), peers.end(), [&](const auto& entry) {
+    const PeerStatus& peer = entry.second;
+    return !peer.reachable(now) || peer.last_seen < failing_since + kPeerDetectionDelay ||
+           peer.store_last_answer > failing_since;
+  });
+}
+
+}  // namespace asterstair
--- /dev/null
+++ b/src/node/heartbeat_endpoint.hpp
@@ -0,0 +1,43 @@
+#pragma once
+
+#include <string>
+
+#include "base/runtime.hpp"
+#include "base/settings.hpp"
+#include "leader/election.hpp"
+#include "node/peer_gossip.hpp"
+#include "node/term_runner.hpp"
+#include "store/store.hpp"
+
+namespace asterstair {
+
+/// Answers the workers' heartbeats: a follower names the leader, and a leader that may act hands
+/// the heartbeat to its term.
+///
+/// An answer of the term may renew the worker's lease. It is given only while this node's own lease
+/// is valid and its view of the live jobs is fresh; otherwise the worker gets 503. Owned by Node,
+/// called by RequestRouter.
+class HeartbeatEndpoint {
+ public:
+  /// All references have to outlive this object.
+  HeartbeatEndpoint(Runtime& runtime, const Settings& settings, const store::Store& store,
+                    const leader::Election& election, const TermRunner& terms, PeerGossip& gossip);
+
+  /// Answers the heartbeat in this body, before it returns. 200: the commands of the term. 421:
+  /// this node does not lead; the body names the leader if it is known and reachable. 503: the
+  /// leader may not act now. 400: the body is malformed.
+  HttpResponse answer(std::string body);
+
+ private:
+  HttpResponse not_leader_response() const;
+  bool may_miss_cancellations() const;
+
+  Runtime& runtime_;
+  const Settings& settings_;
+  const store::Store& store_;
+  const leader::Election& election_;
+  const TermRunner& terms_;
+  PeerGossip& gossip_;
+};
+
+}  // namespace asterstair
--- /dev/null
+++ b/src/node/leadership_monitor.hpp
@@ -0,0 +1,53 @@
+#pragma once
+
+#include <string>
+
+#include "base/runtime.hpp"
+#include "leader/election.hpp"
+#include "node/peer_table.hpp"
+#include "node/term_runner.hpp"
+#include "store/store.hpp"
+
+namespace asterstair {
+
+/// Decides when leadership has to change hands: when this node, as the leader, steps down, and
+/// when, as a follower, it forces the failover of a suspected leader.
+///
+/// Both are matters of availability. What keeps two leaders apart is the lease, see
+/// lease::Renewer. docs/design.md explains both decisions under "Handing leadership over" and
+/// "Replacing a silent leader". Owned by Node.
+class LeadershipMonitor {
+ public:
+  /// All references have to outlive this object.
+  LeadershipMonitor(Runtime& runtime, const store::Store& store, leader::Election& election,
+                    const TermRunner& terms, const PeerTable& peers);
+
+  /// Starts the periodic liveness check of the leader, every 500 ms.
+  void start();
+  /// Steps down if this node leads, has alone lost the state service or the workers' heartbeats,
+  /// and a reachable peer has not. Called by Node after each gossip message that it sends.
+  void check_own_term();
+
+ private:
+  /// What a leader may have lost while its peers have not.
+  struct Impairment {
+    bool store = false;       // requests to the state service fail
+    bool heartbeats = false;  // no heartbeats of workers arrive
+
+    bool any() const { return store || heartbeats; }
+  };
+
+  void check_leader_liveness();
+  Impairment impairment_of(const leader::Term& term) const;
+  Impairment spared_by(const PeerStatus& peer, const leader::Term& term,
+                       const Impairment& own) const;
+  void step_down(const std::string& successor, const Impairment& reason);
+
+  Runtime& runtime_;
+  const store::Store& store_;
+  leader::Election& election_;
+  const TermRunner& terms_;
+  const PeerTable& peers_;
+};
+
+}  // namespace asterstair
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,11 +1,7 @@
 #pragma once
-// One controller node: everything but sockets.
 
-#include <memory>
-#include <optional>
 #include <string>
 
-#include "autoscale/autoscale.hpp"
 #include "base/features.hpp"
 #include "base/runtime.hpp"
 #include "base/settings.hpp"
@@ -13,38 +9,45 @@
 #include "cloud/cloud.hpp"
 #include "frontend/frontend.hpp"
 #include "leader/election.hpp"
-#include "leader/term.hpp"
-#include "node/peer_table.hpp"
-#include "node/recent_cancellations.hpp"
+#include "node/catalog_refresher.hpp"
+#include "node/heartbeat_endpoint.hpp"
+#include "node/leadership_monitor.hpp"
+#include "node/peer_gossip.hpp"
+#include "node/request_router.hpp"
+#include "node/store_probe.hpp"
+#include "node/term_runner.hpp"
 #include "provisioning/provisioning_controller.hpp"
 #include "store/store.hpp"
-#include "wire/peer.hpp"
 
 namespace asterstair {
 
+/// One controller node: everything but the sockets.
+///
+/// Node owns the parts and wires them together; each decision is taken in a part. The order of the
+/// members is the order of construction: every part refers to those before it. The program creates
+/// one Node, and the simulation one for each simulated process; both feed it requests and gossip
+/// messages. Everything runs on the event loop's thread.
 class Node {
  public:
+  /// `runtime` has to outlive the node, and to run no callback after the node's destruction.
   Node(Runtime& runtime, Settings settings, const Features& features = {});
+
+  Node(const Node&) = delete;
+  Node& operator=(const Node&) = delete;
+
+  /// Begins to campaign for leadership and starts the periodic work. Called once.
   void start();
-  void handle(HttpRequest request, const std::function<void(HttpResponse)>& respond);
+  /// Handles an HTTP request; `respond` is called exactly once.
+  void handle(HttpRequest request, const HttpCallback& respond);
+  /// Takes in a gossip message of a peer.
   void peer_message(const std::string& message);
 
+  /// Whether this node leads; its lease may have expired.
   bool leading() const { return election_.leading(); }
 
  private:
-  void elected();
-  void lost();
-  void gossip();
-  void send_gossip(const wire::GossipMessage& message);
-  wire::GossipMessage gossip_message() const;
-  void cancelled(const std::string& job);
-  bool may_miss_cancellations() const;
-  void learn_types();
-  void probe_store();
-  void check_leadership();
-  void check_leader_liveness();
-  HttpResponse ready() const;
-  void on_heartbeat(std::string body, const std::function<void(HttpResponse)>& respond);
+  void on_elected();
+  void gossip_round();
 
   Runtime& runtime_;
   Settings settings_;
@@ -54,15 +57,13 @@
   frontend::Frontend frontend_;
   leader::Election election_;
   provisioning::ProvisioningController provisioning_;
-  std::shared_ptr<leader::Term> term_;
-  std::shared_ptr<autoscale::Autoscaler> autoscaler_;
-  PeerTable peers_;
-  RecentCancellations cancellations_;
-  std::string gossiped_leader_;
-  std::uint64_t gossiped_token_ = 0;
-  TimePoint last_heartbeat_{};
-  bool types_fresh_ = false;
-  bool counts_cut_told_ = false;
+  TermRunner terms_;
+  PeerGossip gossip_;
+  LeadershipMonitor leadership_monitor_;
+  CatalogRefresher catalog_refresher_;
+  StoreProbe store_probe_;
+  HeartbeatEndpoint heartbeats_;
+  RequestRouter router_;
 };
 
 }  // namespace asterstair
--- a/src/node/recent_cancellations.hpp
+++ b/src/node/recent_cancellations.hpp
@@ -1,6 +1,4 @@
 #pragma once
-// Cancellations that this node has confirmed lately. They are told to the peers at once, and
-// again for as long as a message may be lost.
 
 #include <deque>
 #include <string>
@@ -10,21 +8,26 @@
 
 namespace asterstair {
 
+/// The jobs whose cancellation this node has confirmed lately.
+///
+/// PeerGossip tells the peers of each at once, and again in every message for 10 s, since a message
+/// may be lost. Bounded to a quarter of a message: the oldest are dropped first.
 class RecentCancellations {
  public:
+  /// Adds a job whose cancellation is confirmed now.
   void add(const std::string& job, TimePoint now);
-  // Those still to be told, oldest first; older ones are dropped.
+  /// The jobs that are still to be told of, oldest first. Drops older ones.
   std::vector<std::string> jobs(TimePoint now);
 
  private:
   struct Entry {
-    TimePoint confirmed;
+    TimePoint confirmed_at;
     std::string job;
   };
   void drop_oldest();
 
   std::deque<Entry> entries_;
-  std::size_t bytes_ = 0;  // that they take in a message
+  std::size_t message_bytes_ = 0;  // what the entries take in a message
 };
 
 }  // namespace asterstair
--- /dev/null
+++ b/src/node/store_probe.cpp
@@ -0,0 +1,19 @@
+#include "node/store_probe.hpp"
+
+#include "store/records.hpp"
+
+namespace asterstair {
+namespace {
+
+// HeartbeatEndpoint counts on a probe within so long, see its kPeerDetectionDelay.
+constexpr auto kProbeInterval = 1s;
+
+}  // namespace
+
+void StoreProbe::probe() {
+  runtime_.after(kProbeInterval, [this] { probe(); });
+  if (store_.answered_within(kProbeInterval)) return;
+  store_.get(store::kLeaderKey, [](const store::ReadResult&) {});
+}
+
+}  // namespace asterstair
--- /dev/null
+++ b/src/node/term_runner.hpp
@@ -0,0 +1,50 @@
+#pragma once
+
+#include <memory>
+
+#include "autoscale/autoscale.hpp"
+#include "base/runtime.hpp"
+#include "base/settings.hpp"
+#include "cloud/catalog.hpp"
+#include "cloud/cloud.hpp"
+#include "leader/election.hpp"
+#include "leader/term.hpp"
+#include "provisioning/provisioning_controller.hpp"
+#include "store/store.hpp"
+
+namespace asterstair {
+
+/// Runs what a node does only while it leads: one leader::Term with its autoscaler, from an
+/// election to the loss of leadership.
+///
+/// Owned by Node, which calls begin() and end() from the election's callbacks. The other parts of
+/// the node look at term().
+class TermRunner {
+ public:
+  /// All references have to outlive this object.
+  TermRunner(Runtime& runtime, store::Store& store, cloud::Cloud& cloud, const Settings& settings,
+             const cloud::Catalog& catalog, const leader::Election& election,
+             provisioning::ProvisioningController& provisioning);
+
+  /// Starts a new term, after ending one that is still running.
+  void begin();
+  /// Ends the term. Nothing is ordered, answered or written under its token afterwards. Does
+  /// nothing but end provisioning's term if no term is running.
+  void end();
+
+  /// The running term; null while this node does not lead. Not to be kept across callbacks.
+  leader::Term* term() const { return term_.get(); }
+
+ private:
+  Runtime& runtime_;
+  store::Store& store_;
+  cloud::Cloud& cloud_;
+  const Settings& settings_;
+  const cloud::Catalog& catalog_;
+  const leader::Election& election_;
+  provisioning::ProvisioningController& provisioning_;
+  std::shared_ptr<leader::Term> term_;
+  std::shared_ptr<autoscale::Autoscaler> autoscaler_;
+};
+
+}  // namespace asterstair
