--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -64,7 +64,7 @@
 
 bool Cloud::may_call() { return calls_.wait_for(1, runtime_.now()) <= Duration::zero(); }
 
-void Cloud::count_call() { calls_.force(1, runtime_.now()); }
+void Cloud::count_call() { calls_.take_unconditionally(1, runtime_.now()); }
 
 void Cloud::send_counted(HttpRequest request, HttpCallback done) {
   count_call();
@@ -75,7 +75,7 @@
   runtime_.http(address_, std::move(request), kRequestTimeout,
                 [this, done = std::move(done)](HttpResponse response) {
                   if (response.status == kTooManyRequests) {
-                    calls_.refused(runtime_.now(), kRateLimitPause);
+                    calls_.on_rate_limited(runtime_.now(), kRateLimitPause);
                   }
                   done(std::move(response));
                 });
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -10,7 +10,7 @@
 
 #include "base/runtime.hpp"
 #include "base/settings.hpp"
-#include "store/budget.hpp"
+#include "store/token_bucket.hpp"
 #include "wire/cloud.hpp"
 
 namespace asterstair::cloud {
@@ -64,7 +64,7 @@
 
   Runtime& runtime_;
   std::string address_;
-  store::Budget calls_;  ///< this node's share of the rate limit
+  store::TokenBucket calls_;  ///< this node's share of the rate limit
 };
 
 }  // namespace asterstair::cloud
