--- a/src/autoscale/scale_out.cpp
+++ b/src/autoscale/scale_out.cpp
@@ -94,9 +94,8 @@
           backlog()};
 }
 
-double ScaleOut::loss_rate(
-    const Pool& pool, TimePoint now,
-    const std::map<std::pair<std::string, bool>, std::size_t>& group_sizes) const {
+double ScaleOut::loss_rate(const Pool& pool, TimePoint now,
+                           const cluster::GroupSizes& group_sizes) const {
   const auto size = group_sizes.find({pool.zone, pool.spot});
   return term_.losses().rate({pool.zone, pool.spot}, size == group_sizes.end() ? 1 : size->second,
                              now);
--- a/src/autoscale/scale_out.hpp
+++ b/src/autoscale/scale_out.hpp
@@ -54,8 +54,7 @@
   void on_capacity_refused(const Pool& pool);
   bool is_refused(const Pool& pool) const;
   Market market() const;
-  double loss_rate(const Pool& pool, TimePoint now,
-                   const std::map<std::pair<std::string, bool>, std::size_t>& group_sizes) const;
+  double loss_rate(const Pool& pool, TimePoint now, const cluster::GroupSizes& group_sizes) const;
   Seconds backlog() const;
   CountByZone count_by_zone(const std::string& type, const PendingMachines& pending) const;
   std::optional<std::string> choose_zone(const DesiredMachines& desired,
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -101,7 +101,8 @@
 }
 
 HttpRequest list_request(const std::string& after) {
-  std::string target = std::string(kMachinesPath) + "?limit=" + std::to_string(kMostListed);
+  std::string target(kMachinesPath);
+  target += "?limit=" + std::to_string(kMostListed);
   if (!after.empty()) target += "&since=" + after;
   return {"GET", target, ""};
 }
