--- a/src/autoscale/inventory.hpp
+++ b/src/autoscale/inventory.hpp
@@ -19,6 +19,7 @@
 /// absent from a list is believed to be gone only after a timeout.
 class Inventory {
  public:
+  /// Uses the list lag of the settings.
   explicit Inventory(const Settings& settings) : settings_(settings) {}
 
   /// Tells that a machine was granted. `since` is the time of the rental.
@@ -31,6 +32,7 @@
   /// Removes pending machines that the leader knows by now.
   void remove_joined(const cluster::MachineTable& known, TimePoint now);
 
+  /// Rented machines that have not sent a heartbeat.
   const PendingMachines& pending() const { return pending_; }
   /// Whether the machine was returned lately: lists may show it still.
   bool was_returned(const std::string& machine) const { return returned_.count(machine) != 0; }
@@ -38,6 +40,7 @@
   bool is_listed(const std::string& machine) const { return listed_.count(machine) != 0; }
   /// Returns, once, the pending machines that are given up because the cloud does not list them.
   std::vector<std::string> take_vanished();
+  /// Orphaned instances of this term.
   const OrphanTracker& orphans() const { return orphans_; }
 
  private:
--- a/src/autoscale/machine_lister.hpp
+++ b/src/autoscale/machine_lister.hpp
@@ -16,8 +16,10 @@
 /// Reads the list page by page; one list at a time.
 class MachineLister : public Stoppable<MachineLister> {
  public:
+  /// Receives a complete list.
   using OnList = std::function<void(const std::vector<ListedMachine>&)>;
 
+  /// Both references must outlive the callbacks.
   MachineLister(Runtime& runtime, cloud::Cloud& cloud) : runtime_(runtime), cloud_(cloud) {}
 
   /// Begins a list if the last one began `interval` ago or earlier and the cloud's rate limit has
--- a/src/autoscale/orphan_tracker.hpp
+++ b/src/autoscale/orphan_tracker.hpp
@@ -13,6 +13,7 @@
 /// Remembers orphaned instances and what becomes of them. Logs each change.
 class OrphanTracker {
  public:
+  /// What has become of an orphan.
   using State = provisioning::OrphanedInstance::State;
 
   /// Adds a machine that the cloud lists and nobody knows.
--- a/src/autoscale/return_policy.hpp
+++ b/src/autoscale/return_policy.hpp
@@ -19,6 +19,7 @@
 /// before it declares them due for return.
 class ReturnPolicy {
  public:
+  /// Reads the references at each call; drains machines of `term`.
   ReturnPolicy(const Settings& settings, const cloud::Catalog& catalog, leader::Term& term,
                const Inventory& inventory)
       : settings_(settings), catalog_(catalog), term_(term), inventory_(inventory) {}
--- a/src/autoscale/scale_in.hpp
+++ b/src/autoscale/scale_in.hpp
@@ -18,6 +18,7 @@
 /// Carries out what ReturnPolicy decides, and has the leader consolidate costly machines.
 class ScaleIn {
  public:
+  /// All references must outlive this object.
   ScaleIn(Runtime& runtime, cloud::Cloud& cloud, const Settings& settings,
           const cloud::Catalog& catalog, leader::Term& term,
           provisioning::OperationRunner& operations, Inventory& inventory)
--- a/src/autoscale/scale_out.hpp
+++ b/src/autoscale/scale_out.hpp
@@ -22,6 +22,7 @@
 /// difference, spread over zones.
 class ScaleOut {
  public:
+  /// All references must outlive this object.
   ScaleOut(Runtime& runtime, cloud::Cloud& cloud, const cloud::Catalog& catalog, leader::Term& term,
            provisioning::OperationRunner& operations, Inventory& inventory)
       : runtime_(runtime),
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -20,6 +20,7 @@
 /// latest after the request timeout. Must outlive the callbacks.
 class Cloud {
  public:
+  /// Uses the address and the rate limit of the settings.
   Cloud(Runtime& runtime, const Settings& settings);
 
   /// Answer to a rental.
--- a/src/provisioning/admin_commands.hpp
+++ b/src/provisioning/admin_commands.hpp
@@ -18,6 +18,7 @@
   /// Receives the lines to print. `ok` is false if the state service did not answer or refused.
   using Done = std::function<void(bool ok, const std::vector<std::string>& lines)>;
 
+  /// Reads and writes through `store`, which must outlive the commands.
   explicit AdminCommands(store::Store& store) : store_(store) {}
 
   /// Shows the lease's holder and token, the control record, operations and orphaned instances.
--- a/src/provisioning/operation_runner.hpp
+++ b/src/provisioning/operation_runner.hpp
@@ -37,6 +37,7 @@
     std::function<void(const Operation&)> on_returned;
   };
 
+  /// All references must outlive the runner and its callbacks.
   OperationRunner(Runtime& runtime, cloud::Cloud& cloud, const Settings& settings,
                   const FencingAuthority& authority, std::shared_ptr<OperationLog> operation_log);
 
--- a/src/provisioning/orphan_publisher.hpp
+++ b/src/provisioning/orphan_publisher.hpp
@@ -13,6 +13,7 @@
 /// Keeps the orphans record in the state service equal to the last list that was published.
 class OrphanPublisher {
  public:
+  /// Writes through `store` under the guards of `authority`. Both must outlive the callbacks.
   OrphanPublisher(store::Store& store, const FencingAuthority& authority)
       : store_(store), authority_(authority) {}
 
--- a/src/provisioning/records.hpp
+++ b/src/provisioning/records.hpp
@@ -17,6 +17,7 @@
 
 namespace asterstair::provisioning {
 
+/// Keys, see above. Stored data depends on them.
 inline constexpr const char* kLeaseKey = "duty/machines";
 inline constexpr const char* kOperationPrefix = "ledger/machines/";
 inline constexpr const char* kOrphansKey = "orphans/machines";
@@ -27,6 +28,7 @@
 /// Returns the operation's name: the part of the key after kOperationPrefix.
 std::string operation_name(const std::string& key);
 
+/// Encodes the operation without its name, which is in the key.
 wire::Json encode_operation(const Operation& operation);
 /// Decodes a record; the operation's name comes from the key.
 Operation decode_operation(const std::string& key, const wire::Json& value);
@@ -37,7 +39,9 @@
   /// The holder of this fencing token gives the provisioning lease to another node; 0: none.
   std::uint64_t hand_over_from = 0;
 };
+/// Encodes the value of kControlKey.
 wire::Json encode_control(const ControlRecord& control);
+/// Decodes the value of kControlKey.
 ControlRecord decode_control(const wire::Json& value);
 
 /// A machine that the cloud lists but neither the operation log nor the leader knows, or one that
@@ -55,8 +59,11 @@
   WallTime since{};              ///< when the leader first noticed it
   bool operator==(const OrphanedInstance&) const = default;
 };
+/// Name of the state in the stored record, log lines and admin commands.
 std::string_view to_string(OrphanedInstance::State state);
+/// Encodes the value of kOrphansKey.
 wire::Json encode_orphans(const std::vector<OrphanedInstance>& orphans);
+/// Decodes the value of kOrphansKey.
 std::vector<OrphanedInstance> decode_orphans(const wire::Json& value);
 
 }  // namespace asterstair::provisioning
--- a/src/provisioning/stored_operation_log.hpp
+++ b/src/provisioning/stored_operation_log.hpp
@@ -23,6 +23,7 @@
 /// newer.
 class StoredOperationLog : public OperationLog, public Stoppable<StoredOperationLog> {
  public:
+  /// All references must outlive the log and its callbacks.
   StoredOperationLog(Runtime& runtime, store::Store& store, FencingAuthority& authority)
       : runtime_(runtime), store_(store), authority_(authority) {}
 
