--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -33,6 +33,7 @@
 
 std::vector<PeerCounts> unpack_counts(const std::vector<PackedCounts>& packed) {
   std::vector<PeerCounts> counts;
+  counts.reserve(packed.size());
   for (const auto& [job, done, running] : packed) counts.push_back({job, done, running});
   return counts;
 }
