--- /dev/null
+++ b/src/app/serve.cpp
@@ -0,0 +1,45 @@
+#include "app/serve.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "base/log.hpp"
+#include "net/http_server.hpp"
+#include "net/loop.hpp"
+#include "node/node.hpp"
+
+namespace asterstair::app {
+namespace {
+
+// The part (1/n) of the node's memory that incomplete requests may use, and its least size in
+// bytes.
+constexpr std::size_t kBufferedPartOfMemory = 8;
+constexpr std::size_t kLeastBuffered = std::size_t{1} * 1024 * 1024;
+
+net::HttpServer::Limits server_limits(const Settings& settings) {
+  net::HttpServer::Limits limits;
+  // The rest is for the node's own connections: state service, cloud, peers.
+  limits.connections = settings.max_connections * 13 / 16;
+  limits.kept = limits.connections * 7 / 8;
+  limits.buffered = std::max(kLeastBuffered, settings.memory_bytes / kBufferedPartOfMemory);
+  return limits;
+}
+
+}  // namespace
+
+void serve(const Settings& settings, const Features& features) {
+  net::LoopRuntime runtime(settings);
+  Node node(runtime, settings, features);
+  net::HttpServer server(runtime.loop(), server_limits(settings),
+                         [&](HttpRequest request, const net::Respond& respond) {
+                           node.handle(std::move(request), respond);
+                         });
+  server.listen(settings.api_address);
+  runtime.peers().listen([&](const std::string& message) { node.peer_message(message); });
+  log::info("started in zone {}", settings.zone);
+  for (const auto& limit : limits_too_small(settings)) log::error("{}", limit);
+  node.start();
+  runtime.run();
+}
+
+}  // namespace asterstair::app
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,4 +1,7 @@
 #pragma once
+/// @file
+/// Network addresses as the settings and the machine list write them. Used by this package only.
+
 #include <uv.h>
 
 #include <optional>
@@ -6,16 +9,24 @@
 
 namespace asterstair::net {
 
-// "10.0.0.1:8080"; none if it is not an IPv4 address with a port.
+/// Largest TCP port.
+inline constexpr int kLargestPort = 65535;
+
+/// Length of the longest port with its colon, ":65535".
+inline constexpr std::size_t kLongestPortSuffix = 6;
+
+/// Parses an IPv4 address with a port, such as "10.0.0.1:8080". Returns none for anything else;
+/// names are not resolved.
 inline std::optional<sockaddr_in> parse_address(const std::string& text) {
   const auto colon = text.rfind(':');
-  if (colon == std::string::npos || colon + 1 >= text.size() || text.size() - colon > 6) return {};
+  if (colon == std::string::npos || colon + 1 >= text.size()) return {};
+  if (text.size() - colon > kLongestPortSuffix) return {};
   int port = 0;
-  for (const char c : text.substr(colon + 1)) {
-    if (c < '0' || c > '9') return {};
-    port = port * 10 + (c - '0');
+  for (const char digit : text.substr(colon + 1)) {
+    if (digit < '0' || digit > '9') return {};
+    port = port * 10 + (digit - '0');
   }
-  if (port < 1 || port > 65535) return {};
+  if (port < 1 || port > kLargestPort) return {};
   sockaddr_in out{};
   if (uv_ip4_addr(text.substr(0, colon).c_str(), port, &out) != 0) return {};
   return out;
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,9 +1,11 @@
 #pragma once
-// HTTP/1.1 client over libuv with kept-open connections. Every request ends within its timeout.
+/// @file
+/// HTTP/1.1 client over libuv with a connection pool. The node's LoopRuntime owns one and sends all
+/// requests to workers, the state service and the cloud through it.
 
 #include <uv.h>
 
-#include <list>
+#include <cstdint>
 #include <memory>
 #include <string>
 #include <unordered_map>
@@ -14,34 +16,49 @@
 
 namespace asterstair::net {
 
+/// Sends requests and keeps idle connections for the next one. All calls and callbacks run on the
+/// loop's thread. Every request ends within its timeout.
 class HttpClient {
  public:
-  struct Connection;  // of the implementation
+  /// One connection of the pool; see http_client_connection.hpp. Of the implementation.
+  struct Connection;
 
+  /// Opens at most `max_connections` connections on the loop, which must outlive the client.
   HttpClient(uv_loop_t* loop, std::size_t max_connections);
   ~HttpClient();
+
+  /// Sends the request to an IPv4 address with a port. Calls `done` exactly once, never from inside
+  /// this call. The status is 0 if there is no response: after the timeout, for a broken connection
+  /// or response, for a wrong address, and when no further connection may be opened.
   void send(const std::string& address, HttpRequest request, Duration timeout, HttpCallback done);
-  // Of the connection's client; for the implementation.
-  static ReadBuffer& read_buffer_of(const Connection& connection);
 
  private:
-  Connection* idle_or_new(const std::string& address);
+  // The connection pool.
+  Connection* take_idle_or_open(const std::string& address);
+  Connection* open_connection(const std::string& address);
+  void close_longest_idle();
+  void put_back(Connection* connection);
+  void close_connection(Connection* connection);
+
+  // One request.
+  void fail_later(HttpCallback done);
+  void fail_after(Connection* connection, std::int64_t delay_ms);
   void connect(Connection* connection);
   void on_connected(Connection* connection, int status);
+  void write_request(Connection* connection);
+  void on_written(Connection* connection, int status);
   void on_received(Connection* connection, const char* data, std::int64_t size);
-  void start(Connection* connection);
-  void fail_later(HttpCallback done);
-  void fail_after(Connection* connection, std::int64_t ms);
+  bool parse(Connection* connection, const char* data, std::size_t size);
+  bool parse_end(Connection* connection);
+  void fail(Connection* connection);
   void finish(Connection* connection, HttpResponse response, bool reusable);
-  void release(Connection* connection);
-  void close_longest_idle();
 
   uv_loop_t* loop_;
   ReadBuffer read_buffer_{};
   std::size_t max_connections_;
   std::size_t open_ = 0;
-  std::uint64_t turns_ = 0;
-  std::unordered_map<std::string, std::vector<Connection*>> idle_;
+  std::uint64_t turns_ = 0;  // counts returns to the pool, to find the longest idle connection
+  std::unordered_map<std::string, std::vector<Connection*>> idle_;  // by address
 };
 
 }  // namespace asterstair::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -1,6 +1,9 @@
 #include "net/loop.hpp"
 
+#include <algorithm>
 #include <random>
+#include <stdexcept>
+#include <utility>
 
 namespace asterstair::net {
 
@@ -13,8 +16,13 @@
 
 namespace {
 
+// The HTTP client may use this part (1/n) of the node's connections. The HTTP server has its own
+// part, see main.cpp.
+constexpr std::size_t kClientPartOfConnections = 8;
+
 uv_loop_t* init_loop(uv_loop_t* loop) {
-  if (const int e = uv_loop_init(loop); e != 0) throw std::runtime_error(uv_strerror(e));
+  const int error = uv_loop_init(loop);
+  if (error != 0) throw std::runtime_error(uv_strerror(error));
   return loop;
 }
 
@@ -27,7 +35,7 @@
 
 LoopRuntime::LoopRuntime(const Settings& settings)
     : rng_(random_seed()),
-      client_(init_loop(&loop_), settings.max_connections / 8),
+      client_(init_loop(&loop_), settings.max_connections / kClientPartOfConnections),
       peers_(&loop_, settings) {}
 
 LoopRuntime::~LoopRuntime() = default;  // the process ends by being killed; the loop never closes
@@ -40,30 +48,36 @@
   timer->handle.data = timer;
   uv_timer_init(&loop_, &timer->handle);
   timers_[timer->id] = timer;
-  const auto ms = std::chrono::ceil<milliseconds>(std::max(delay, Duration::zero())).count();
+  const auto delay_ms = std::chrono::ceil<milliseconds>(std::max(delay, Duration::zero())).count();
   uv_update_time(&loop_);
-  uv_timer_start(
-      &timer->handle,
-      [](uv_timer_t* h) {
-        auto* t = static_cast<Timer*>(h->data);
-        t->owner->timers_.erase(t->id);
-        auto action = std::move(t->action);
-        uv_close(reinterpret_cast<uv_handle_t*>(h),
-                 [](uv_handle_t* c) { delete static_cast<Timer*>(c->data); });
-        action();
-      },
-      static_cast<std::uint64_t>(ms), 0);
+  const auto expired = [](uv_timer_t* handle) {
+    auto* expired_timer = static_cast<Timer*>(handle->data);
+    expired_timer->owner->on_expired(expired_timer);
+  };
+  uv_timer_start(&timer->handle, expired, static_cast<std::uint64_t>(delay_ms), 0);
   return timer->id;
 }
 
+// The timer is gone before its action runs: the action may start or cancel timers.
+void LoopRuntime::on_expired(Timer* timer) {
+  timers_.erase(timer->id);
+  const auto action = std::move(timer->action);
+  close(timer);
+  action();
+}
+
 void LoopRuntime::cancel(TimerId id) {
   const auto it = timers_.find(id);
   if (it == timers_.end()) return;
   Timer* timer = it->second;
   timers_.erase(it);
-  timer->action = nullptr;
+  timer->action = nullptr;  // frees what it holds now, not when the handle has closed
+  close(timer);
+}
+
+void LoopRuntime::close(Timer* timer) {
   uv_close(reinterpret_cast<uv_handle_t*>(&timer->handle),
-           [](uv_handle_t* c) { delete static_cast<Timer*>(c->data); });
+           [](uv_handle_t* handle) { delete static_cast<Timer*>(handle->data); });
 }
 
 void LoopRuntime::http(const std::string& address, HttpRequest request, Duration timeout,
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,9 +1,11 @@
 #pragma once
-// The real Runtime: libuv's loop, timers and sockets.
+/// @file
+/// The program's Runtime: libuv's event loop, timers and sockets. The tests use a simulated one.
 
 #include <uv.h>
 
-#include <memory>
+#include <functional>
+#include <string>
 #include <unordered_map>
 
 #include "base/runtime.hpp"
@@ -13,27 +15,52 @@
 
 namespace asterstair::net {
 
+/// Owns the event loop, its timers, the HTTP client and the links to peers. The program makes one;
+/// all calls and callbacks run on the thread that calls run(). It must live until the process ends:
+/// the loop is never closed.
 class LoopRuntime : public Runtime {
  public:
+  /// Throws std::runtime_error if the loop cannot be made.
   explicit LoopRuntime(const Settings& settings);
   ~LoopRuntime() override;
 
+  /// Returns the steady time.
   TimePoint now() const override { return Clock::now(); }
+
+  /// Returns the wall time.
   WallTime wall() const override { return std::chrono::system_clock::now(); }
+
+  /// Returns the random number generator, seeded by the operating system.
   Rng& rng() override { return rng_; }
+
+  /// Calls the action once after the delay, rounded up to milliseconds. Returns an id for cancel().
   TimerId after(Duration delay, std::function<void()> action) override;
+
+  /// Cancels a timer; does nothing if it has expired or was cancelled.
   void cancel(TimerId id) override;
+
+  /// Sends a request, see HttpClient::send().
   void http(const std::string& address, HttpRequest request, Duration timeout,
             HttpCallback done) override;
+
+  /// Sends a gossip message, see PeerLink::send().
   void send_peer(const std::string& node, std::string message) override;
 
+  /// Returns the loop, for the HTTP server.
   uv_loop_t* loop() { return &loop_; }
+
+  /// Returns the links to the peers.
   PeerLink& peers() { return peers_; }
+
+  /// Runs the loop until it is stopped or has nothing left to wait for.
   void run() { uv_run(&loop_, UV_RUN_DEFAULT); }
 
  private:
   struct Timer;
 
+  void on_expired(Timer* timer);
+  static void close(Timer* timer);
+
   uv_loop_t loop_{};
   Rng rng_;
   TimerId next_timer_ = 1;
--- a/src/net/peer_link.hpp
+++ b/src/net/peer_link.hpp
@@ -1,9 +1,11 @@
 #pragma once
-// Messages between the nodes: length-framed msgpack over TCP, gossip only. Each node keeps one
-// outgoing connection to every peer; what cannot be sent is dropped.
+/// @file
+/// Gossip messages between the nodes: length-framed msgpack over TCP. Each node keeps one outgoing
+/// connection to every peer. What cannot be sent is dropped, since gossip repeats.
 
 #include <uv.h>
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
@@ -14,27 +16,42 @@
 
 namespace asterstair::net {
 
+/// The node's connections to its peers. LoopRuntime owns one. All calls and callbacks run on the
+/// loop's thread.
 class PeerLink {
  public:
+  /// Receives one message, as the peer gave it to send().
   using Receive = std::function<void(const std::string& message)>;
 
+  /// Takes the node's own address and its peers from the settings. The loop must outlive the link.
   PeerLink(uv_loop_t* loop, const Settings& settings);
-  void listen(Receive receive);  // throws std::runtime_error
+
+  /// Starts to accept connections of peers. Throws std::runtime_error if the address is wrong or in
+  /// use.
+  void listen(Receive receive);
+
+  /// Sends the message to the peer, or drops it: if the peer is unknown or not connected yet, if
+  /// the message is too large, or if too much is queued already.
   void send(const std::string& node, const std::string& message);
 
  private:
   struct Outgoing;
   struct Incoming;
 
-  void open(Outgoing& out);
-  void drop(Outgoing& out);
+  // Incoming connections.
   void accept();
+  void close(Incoming* connection);
+  void on_received(Incoming* connection, const char* data, std::int64_t size);
+
+  // Outgoing connections.
+  void connect(Outgoing& peer);
+  void close_socket(Outgoing& peer);
 
   uv_loop_t* loop_;
   std::string address_;
   uv_tcp_t listener_{};
   Receive receive_;
-  std::map<std::string, std::shared_ptr<Outgoing>> outgoing_;
+  std::map<std::string, std::shared_ptr<Outgoing>> outgoing_;  // by node
   std::unordered_set<Incoming*> incoming_;
 };
 
