--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -157,7 +157,8 @@
   scenario.network.alter_response = [&](const std::string&, const HttpRequest& request,
                                         HttpResponse& response) {
     if (scenario.simulator.elapsed() > 85) return;
-    remove_commands(request, response, [](const Json& c) { return c["verb"] == "kill"; });
+    remove_commands(request, response,
+                    [](const Json& command) { return command["verb"] == "kill"; });
   };
   scenario.run_until(80);
   EXPECT_EQ(scenario.checker.tasks_present(id), 2U) << "gone already: the test shows nothing";
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -30,7 +30,7 @@
     for (const auto& p : in["pieces"]) holds = holds || p["stage"] != "exited";
     if (!holds || !seen.insert(in["host"]).second) return;
     ++first;
-    for (const auto& c : out["orders"]) stopped += c["verb"] == "kill" ? 1 : 0;
+    for (const auto& command : out["orders"]) stopped += command["verb"] == "kill" ? 1 : 0;
   };
   scenario.run_until(120);
   EXPECT_GT(first, 0U);
--- a/tests/late_message_test.cpp
+++ b/tests/late_message_test.cpp
@@ -9,6 +9,20 @@
 
 using namespace sim;
 
+// The commands that the response to a heartbeat contains.
+std::size_t command_count(const HttpResponse& response) {
+  const auto answer = Json::parse(response.body, nullptr, false);
+  return answer.is_object() && answer.contains("orders") ? answer["orders"].size() : 0;
+}
+
+// Sends a transaction to the state service. Its status gets into `status`, which must outlive the
+// response.
+void send_transaction(Scenario& scenario, const std::string& node, const std::string& body,
+                      int& status) {
+  scenario.network.http(node, "10.2.0.1:2379", {"POST", "/txn", body}, 4s,
+                        [&status](const HttpResponse& response) { status = response.status; });
+}
+
 // A machine has answered the new leader under the old token. Its next heartbeat is delayed until
 // its lease has expired and its tasks have started elsewhere. Guard: first_valid_epoch in
 // expire_leases.
@@ -45,11 +59,7 @@
   scenario.network.alter_response = nullptr;
   std::size_t orders = 0;
   scenario.network.http("copies", address, {"POST", "/v1/report", body}, 4s,
-                        [&](const HttpResponse& response) {
-                          const auto in = Json::parse(response.body, nullptr, false);
-                          if (in.is_object() && in.contains("orders"))
-                            orders += in["orders"].size();
-                        });
+                        [&](const HttpResponse& response) { orders += command_count(response); });
   scenario.run_until(64);
   EXPECT_EQ(orders, 0U) << "taken for news";
   scenario.run_until(400);
@@ -165,12 +175,9 @@
     auto copy = Json::parse(report);
     copy["tick"] = copy["tick"].get<int>() + i;
     scenario.simulator.schedule(Seconds(0.25 * i), [&, body = copy.dump()] {
-      scenario.network.http("copies", address, {"POST", "/v1/report", body}, 4s,
-                            [&](const HttpResponse& response) {
-                              const auto in = Json::parse(response.body, nullptr, false);
-                              if (in.is_object() && in.contains("orders"))
-                                orders += in["orders"].size();
-                            });
+      scenario.network.http(
+          "copies", address, {"POST", "/v1/report", body}, 4s,
+          [&](const HttpResponse& response) { orders += command_count(response); });
     });
   }
   scenario.run_until(200);
@@ -201,8 +208,7 @@
   const int old = scenario.leader();
   ASSERT_GE(old, 0);
   int status = -1;
-  scenario.network.http(scenario.node_name(old), "10.2.0.1:2379", {"POST", "/txn", held}, 4s,
-                        [&](const HttpResponse& response) { status = response.status; });
+  send_transaction(scenario, scenario.node_name(old), held, status);
   scenario.run_until(61);
   EXPECT_EQ(status, 409);
   std::size_t cut = 0;
@@ -243,8 +249,7 @@
   ASSERT_TRUE(scenario.checker.cancellation_confirmed(id));
   scenario.network.drop_request = nullptr;
   int status = -1;
-  scenario.network.http(scenario.node_name(leader), "10.2.0.1:2379", {"POST", "/txn", held}, 4s,
-                        [&](const HttpResponse& response) { status = response.status; });
+  send_transaction(scenario, scenario.node_name(leader), held, status);
   scenario.run_until(scenario.simulator.elapsed() + 30);
   EXPECT_EQ(status, 409);
   EXPECT_EQ(scenario.checker.final_stage(id), "withdrawn");
--- a/tests/machine_fault_test.cpp
+++ b/tests/machine_fault_test.cpp
@@ -26,8 +26,8 @@
     if (!is_accepted_heartbeat(request, response)) return;
     if (Json::parse(request.body)["host"] != unacknowledging->id) return;
     const auto answer = Json::parse(response.body);
-    for (const auto& c : answer["orders"]) {
-      if (c["verb"] == "run") ++ordered[c["piece"].get<std::string>()];
+    for (const auto& command : answer["orders"]) {
+      if (command["verb"] == "run") ++ordered[command["piece"].get<std::string>()];
     }
   };
   for (int i = 0; i < 60; ++i) {
--- a/tests/randomized_simulation_test.cpp
+++ b/tests/randomized_simulation_test.cpp
@@ -47,6 +47,10 @@
   EXPECT_EQ(open, 0U) << "seed " << seed << ": " << which;
 }
 
+std::string parameter_name(const testing::TestParamInfo<std::tuple<FaultMix, int>>& info) {
+  return std::string(std::get<0>(info.param).name) + "_" + std::to_string(std::get<1>(info.param));
+}
+
 // Two faults and more at a time, as the operators' page names them.
 INSTANTIATE_TEST_SUITE_P(
     CompoundFaults, RandomizedSimulation,
@@ -118,10 +122,7 @@
                      .invalid_requests = true,
                      .nodes = 5}),
         testing::Values(1, 2)),
-    [](const auto& info) {
-      return std::string(std::get<0>(info.param).name) + "_" +
-             std::to_string(std::get<1>(info.param));
-    });
+    parameter_name);
 
 INSTANTIATE_TEST_SUITE_P(
     Faults, RandomizedSimulation,
@@ -164,10 +165,7 @@
                      .rapid_crashes = true,
                      .nodes = 5}),
         testing::Values(1, 2, 3)),
-    [](const auto& info) {
-      return std::string(std::get<0>(info.param).name) + "_" +
-             std::to_string(std::get<1>(info.param));
-    });
+    parameter_name);
 
 TEST(RunRandomized, RepeatsBySeed) {
   const auto once = [](std::uint64_t seed) {
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -28,9 +28,9 @@
       done = true;
       return;
     }
-    for (const auto& c : out["orders"]) {
-      if (c["verb"] != "run") continue;
-      stolen = c;
+    for (const auto& command : out["orders"]) {
+      if (command["verb"] != "run") continue;
+      stolen = command;
       from = host;
     }
   };
@@ -79,7 +79,8 @@
   Scenario scenario(13);
   scenario.network.alter_response = [](const std::string&, const HttpRequest& request,
                                        HttpResponse& response) {
-    remove_commands(request, response, [](const Json& c) { return c["verb"] == "kill"; });
+    remove_commands(request, response,
+                    [](const Json& command) { return command["verb"] == "kill"; });
   };
   drop_direct_commands(scenario.network);
   submit_and_cancel(scenario, 200, 40s);
@@ -130,8 +131,8 @@
   std::string starved;
   scenario.network.alter_response = [&](const std::string&, const HttpRequest& request,
                                         HttpResponse& response) {
-    remove_commands(request, response, [&](const Json& c) {
-      return c["verb"] == "run" && c["piece"].get<std::string>().rfind(starved, 0) == 0;
+    remove_commands(request, response, [&](const Json& command) {
+      return command["verb"] == "run" && command["piece"].get<std::string>().rfind(starved, 0) == 0;
     });
   };
   starved = scenario.users.submit(array_job(1, 5));
@@ -176,9 +177,9 @@
   // No task of a gang ever starts.
   scenario.network.alter_response = [&](const std::string&, const HttpRequest& request,
                                         HttpResponse& response) {
-    remove_commands(request, response, [&](const Json& c) {
-      const auto piece = c["piece"].get<std::string>();
-      return c["verb"] == "run" &&
+    remove_commands(request, response, [&](const Json& command) {
+      const auto piece = command["piece"].get<std::string>();
+      return command["verb"] == "run" &&
              scenario.jobs.workloads.at(piece.substr(0, piece.find('/'))).gang;
     });
   };
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -11,19 +11,26 @@
 
 using namespace asterstair;
 
-std::string settings_error(const std::string& from, const std::string& to) {
-  auto text = sim::settings_text(0);
-  const auto at = text.find(from);
-  EXPECT_NE(at, std::string::npos) << from;
-  text.replace(at, from.size(), to);
+// What is wrong with the text; empty if it is accepted.
+template <typename Parse>
+std::string error_of(Parse parse, const std::string& text) {
   try {
-    parse_settings(text);
+    parse(text);
   } catch (const SettingsError& e) {
     return e.what();
   }
   return "";
 }
 
+// What is wrong with valid settings once `from` is replaced by `to` in them.
+std::string settings_error(const std::string& from, const std::string& to) {
+  auto text = sim::settings_text(0);
+  const auto at = text.find(from);
+  EXPECT_NE(at, std::string::npos) << from;
+  text.replace(at, from.size(), to);
+  return error_of(parse_settings, text);
+}
+
 TEST(Settings, NameTheOffendingField) {
   EXPECT_EQ(settings_error("", "new_field = 3\n"), "");
   EXPECT_NE(settings_error("node = \"ghat-0\"", "").find("node"), std::string::npos);
@@ -95,26 +102,19 @@
   EXPECT_LE(leader_ttl(longer) + 6s, longer.lease);
 }
 
-std::string refusal(const std::string& text) {
-  try {
-    parse_features(text);
-  } catch (const SettingsError& e) {
-    return e.what();
-  }
-  return "";
-}
-
 TEST(Features, NameTheOffendingField) {
   EXPECT_TRUE(parse_features("[features]\nmachine_duties = true\n").durable_provisioning);
   EXPECT_FALSE(parse_features("[features]\nmachine_duties = false\n").durable_provisioning);
   EXPECT_FALSE(parse_features("[features]\n").durable_provisioning);
-  EXPECT_NE(refusal("[features]\nmachine_dutys = true").find("features.machine_dutys"),
-            std::string::npos);
-  EXPECT_NE(refusal("[features]\nmachine_duties = 1").find("features.machine_duties"),
-            std::string::npos);
-  EXPECT_NE(refusal("[feature]\n").find("feature:"), std::string::npos);
-  EXPECT_NE(refusal("").find("features:"), std::string::npos);
-  EXPECT_NE(refusal("[features\n").find("line 1"), std::string::npos);
+  EXPECT_NE(
+      error_of(parse_features, "[features]\nmachine_dutys = true").find("features.machine_dutys"),
+      std::string::npos);
+  EXPECT_NE(
+      error_of(parse_features, "[features]\nmachine_duties = 1").find("features.machine_duties"),
+      std::string::npos);
+  EXPECT_NE(error_of(parse_features, "[feature]\n").find("feature:"), std::string::npos);
+  EXPECT_NE(error_of(parse_features, "").find("features:"), std::string::npos);
+  EXPECT_NE(error_of(parse_features, "[features\n").find("line 1"), std::string::npos);
   EXPECT_THROW(load_features("/nonexistent/features.toml"), SettingsError);
 }
 
--- a/tests/unreachable_leader_test.cpp
+++ b/tests/unreachable_leader_test.cpp
@@ -9,6 +9,17 @@
 
 using namespace sim;
 
+// The leader reaches its workers only, and they reach nobody else. Once it stops answering, they
+// lose their leases.
+void isolate_with_all_workers(Scenario& scenario, int leader) {
+  scenario.set_control_plane_drop(leader, true);
+  for (const auto& worker : scenario.cloud.running_workers()) {
+    for (int i = 0; i < scenario.node_count(); ++i) {
+      if (i != leader) scenario.network.set_two_way_drop(worker->id, scenario.node_name(i), true);
+    }
+  }
+}
+
 // The leader freezes for longer than a worker's lease, and its grant lasts longer still. A majority
 // of its peers suspects it: one of them takes over while the workers still have time to find it.
 // Guard: Node::check_leader_liveness.
@@ -82,13 +93,7 @@
     ASSERT_EQ(scenario.checker.tasks_present(id), 13U);
     const int old = scenario.leader();
     ASSERT_GE(old, 0);
-    scenario.set_control_plane_drop(old, true);
-    // The workers reach nobody else. Once the old leader stops answering, they lose their leases.
-    for (const auto& worker : scenario.cloud.running_workers()) {
-      for (int i = 0; i < scenario.node_count(); ++i) {
-        if (i != old) scenario.network.set_two_way_drop(worker->id, scenario.node_name(i), true);
-      }
-    }
+    isolate_with_all_workers(scenario, old);
     scenario.run_until(50);
     EXPECT_GE(scenario.leader(old), 0) << "not replaced: the test shows nothing";
     scenario.run_until(100);
@@ -111,12 +116,7 @@
     scenario.run_until(40);
     const int old = scenario.leader();
     ASSERT_GE(old, 0);
-    scenario.set_control_plane_drop(old, true);
-    for (const auto& worker : scenario.cloud.running_workers()) {
-      for (int i = 0; i < scenario.node_count(); ++i) {
-        if (i != old) scenario.network.set_two_way_drop(worker->id, scenario.node_name(i), true);
-      }
-    }
+    isolate_with_all_workers(scenario, old);
     while (scenario.leader(old) < 0 && scenario.simulator.elapsed() < 60)
       scenario.run_until(scenario.simulator.elapsed() + 0.1);
     ASSERT_GE(scenario.leader(old), 0);
