--- /dev/null
+++ b/src/frontend/admission.cpp
@@ -0,0 +1,53 @@
+#include "frontend/admission.hpp"
+
+#include "frontend/responses.hpp"
+#include "wire/user.hpp"
+
+namespace asterstair::frontend {
+namespace {
+
+// Absorbs the rounding of sums of fractions of a processor.
+constexpr double kRoundingTolerance = 1e-6;
+
+// A limit of 0 is none.
+bool exceeds(double needed, double limit) {
+  return limit > 0 && needed > limit + kRoundingTolerance;
+}
+
+// Whether the job can never run within its team's limit. A gang needs room for all its tasks at
+// once, any other job for one.
+bool exceeds_limit(const JobSpec& job, const TeamSettings& team) {
+  const double tasks_at_once = job.gang() ? job.tasks : 1;
+  return exceeds(job.cpus * tasks_at_once, team.cpus_max) ||
+         exceeds(job.gpus * tasks_at_once, team.gpus_max);
+}
+
+std::optional<HttpResponse> refusal_of(const JobSpec& job, const Settings& settings,
+                                       const cloud::Catalog& catalog) {
+  const auto team = settings.teams.find(job.team);
+  if (team == settings.teams.end()) return error_response(422, "unknown team");
+  if (exceeds_limit(job, team->second)) {
+    return error_response(422, "the job needs more than its team's limit");
+  }
+  if (!catalog.known()) return retry_later_response("the machine types are not known yet");
+  if (!catalog.can_hold(job)) return error_response(422, "a task fits no allowed machine type");
+  return std::nullopt;
+}
+
+}  // namespace
+
+AdmissionDecision decide_admission(const std::string& body, const Settings& settings,
+                                   const cloud::Catalog& catalog) {
+  AdmissionDecision decision;
+  try {
+    const auto json = wire::parse(body);
+    decision.id = wire::job_id_of(json);
+    decision.job = wire::decode_job(json);
+    decision.refusal = refusal_of(decision.job, settings, catalog);
+  } catch (const wire::DecodeError& error) {
+    decision.refusal = error_response(400, error.what());
+  }
+  return decision;
+}
+
+}  // namespace asterstair::frontend
--- a/src/frontend/frontend.hpp
+++ b/src/frontend/frontend.hpp
@@ -1,61 +1,69 @@
 #pragma once
-// The users' interface, on every node. It holds nothing that matters: every answer about a job
-// comes from the state service, leader or no leader.
 
+#include <cstdint>
 #include <functional>
-#include <list>
 #include <string>
 #include <unordered_map>
 
 #include "base/runtime.hpp"
 #include "base/settings.hpp"
 #include "cloud/catalog.hpp"
-#include "store/records.hpp"
+#include "frontend/canceller.hpp"
+#include "frontend/job_lookup.hpp"
 #include "store/store.hpp"
 
 namespace asterstair::frontend {
 
+/// How many tasks of a job are done and running, for display.
 struct Counts {
-  std::uint32_t done = 0, running = 0;
+  std::uint32_t done = 0;
+  std::uint32_t running = 0;
 };
+/// Counts of jobs, by their ids.
 using CountsByJob = std::unordered_map<std::string, Counts>;
 
+/// The users' interface, on every node: submission, status and cancellation of jobs.
+///
+/// It keeps no state that matters. Every answer about a job comes from the state service, whether
+/// this node leads or not and whether there is a leader or not. Nothing is confirmed before it is
+/// durable. Owned by Node, called by RequestRouter. Each `respond` is called exactly once, now or
+/// when the state service has answered or timed out.
 class Frontend {
  public:
+  /// Called for each cancellation before its user is answered.
+  using OnCancelled = std::function<void(const std::string& job)>;
+
+  /// All references have to outlive the frontend.
   Frontend(Runtime& runtime, store::Store& store, const Settings& settings,
-           const cloud::Catalog& catalog, std::function<void(const std::string&)> on_cancelled);
+           const cloud::Catalog& catalog, OnCancelled on_cancelled);
 
+  /// Accepts the job that `body` describes. 201: it is accepted. 200: it was known already, with
+  /// its status. 400, 422: it is refused. 503: to be repeated.
   void submit(const std::string& body, const HttpCallback& respond);
+  /// Answers with the job's status. 200, 404 or 503.
   void status(const std::string& id, const HttpCallback& respond);
+  /// Cancels the job. 200 with its status, which shows how the job ended. 404 or 503.
   void cancel(const std::string& id, const HttpCallback& respond);
 
-  // For display only; told by the leader.
+  /// Replaces the counts. They come from the leader's term, here or by gossip, once a second.
   void set_counts(CountsByJob counts) { counts_ = std::move(counts); }
 
  private:
-  struct Found {
-    enum class Outcome { Live, Final, Absent, Unavailable } outcome = Outcome::Unavailable;
-    store::LiveRecord live;
-    std::uint64_t version = 0;
-    store::FinalRecord final;
-  };
-
-  void look_up(const std::string& id, std::function<void(Found)> done);
-  void answer_known(const std::string& id, const Found& found, const HttpCallback& respond,
-                    HttpResponse if_absent);
   void accept(const JobSpec& job, const HttpCallback& respond);
-  void cancel_once(const std::string& id, int tries, const HttpCallback& respond);
-  void remember(const std::string& id, const store::FinalRecord& record);
+  void respond_with_state(const std::string& id, const HttpCallback& respond,
+                          HttpResponse if_absent);
+  HttpResponse state_response(const std::string& id, const JobState& state,
+                              HttpResponse if_absent) const;
+  HttpResponse live_response(const std::string& id) const;
 
   Runtime& runtime_;
   store::Store& store_;
   const Settings& settings_;
   const cloud::Catalog& catalog_;
-  std::function<void(const std::string&)> tell_;
-  std::unordered_map<std::string, Counts> counts_;
-  // How jobs ended never changes, so this alone may be kept; the least recently added goes.
-  std::unordered_map<std::string, store::FinalRecord> finals_;
-  std::list<std::string> finals_order_;
+  OnCancelled on_cancelled_;
+  JobLookup jobs_;
+  Canceller canceller_;
+  CountsByJob counts_;
 };
 
 }  // namespace asterstair::frontend
