--- a/src/store/lease_records.hpp
+++ b/src/store/lease_records.hpp
@@ -14,7 +14,7 @@
 inline constexpr const char* kLeaderKey = "leader";
 
 /// Key of the record that all leaders before a token have lost their lease validity. The leader of
-/// a forced term writes it once that is so, see Lease::record_previous_holders_expired().
+/// a forced term writes it once that is so, see PreviousHolders::record_when_expired().
 inline constexpr const char* kPreviousLeadersExpiredKey = "earlier-leaders-ended";
 
 /// Who holds a lease.
--- a/tests/cancellation_test.cpp
+++ b/tests/cancellation_test.cpp
@@ -63,7 +63,8 @@
     });
 
 // The state service refuses the leader alone. Its watch shows nothing, and a handover takes
-// seconds. Guards: PeerGossip tells the peers; LiveJobs::end stops tasks directly.
+// seconds. Guards: PeerGossip::announce_cancellation tells the peers; LiveJobs::end stops tasks
+// directly.
 TEST(Cancellation, ReachesALeaderThatLosesTheStateService) {
   Scenario scenario(45, 3, 5);
   const auto id = scenario.users.submit(array_job(8, 400));
--- a/tests/unreachable_leader_test.cpp
+++ b/tests/unreachable_leader_test.cpp
@@ -22,7 +22,7 @@
 
 // The leader freezes for longer than a worker's lease, and its grant lasts longer still. A majority
 // of its peers suspects it: one of them takes over while the workers still have time to find it.
-// Guard: LeadershipMonitor.
+// Guard: LeadershipMonitor::check_leader_liveness.
 TEST(UnreachableLeader, IsReplacedBeforeWorkerLeasesExpire) {
   for (const std::uint64_t seed : {71, 72, 73}) {
     Scenario scenario(seed, 3, 5);
@@ -48,7 +48,7 @@
 }
 
 // The leader reaches everything but its peers. They replace it, and it must notice although its
-// grant is touched with success. Guard: Lease::renew reads the key first.
+// grant is touched with success. Guard: Renewer::renew reads the key first.
 TEST(UnreachableLeader, StepsDownWhenOnlyItsPeersAreLost) {
   Scenario scenario(74, 3, 5);
   for (int i = 0; i < 6; ++i) scenario.users.submit(array_job(6, 200));
@@ -134,7 +134,7 @@
 
 // A leader ends long after its forced term has begun. Its successor need not wait for leaders
 // before it: a machine without heartbeats is waited for a lease, not for a grant and a lease.
-// Guard: Lease::record_previous_holders_expired.
+// Guard: PreviousHolders::record_when_expired.
 TEST(UnreachableLeader, DelaysNothingOnceItsLeaseHasExpired) {
   Scenario scenario(82, 3, 3);
   scenario.users.submit(array_job(8, 400));
