--- a/src/autoscale/autoscaler.hpp
+++ b/src/autoscale/autoscaler.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Control loop that reconciles the rented machines with the demand. Created by Node for each term
 /// of leadership.
 
--- a/src/autoscale/desired_machines.hpp
+++ b/src/autoscale/desired_machines.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// How many machines of which type the waiting work calls for, beyond the pending ones. Pure;
 /// called by ScaleOut.
 
@@ -23,6 +23,7 @@
 
 /// What the leader knows of the cloud's offers.
 struct Market {
+  /// The machine types.
   const cloud::Catalog& catalog;
   std::function<bool(const Pool&)> is_refused;   ///< whether the pool had no capacity lately
   std::function<double(const Pool&)> loss_rate;  ///< expected losses of one machine, a second
--- a/src/autoscale/inventory.hpp
+++ b/src/autoscale/inventory.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Machines between the cloud and the cluster. Owned by Autoscaler. Pure state.
 
 #include <map>
--- a/src/autoscale/machine_lister.hpp
+++ b/src/autoscale/machine_lister.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Lists the cloud's machines at intervals. Owned by Autoscaler.
 
 #include <functional>
--- a/src/autoscale/orphan_tracker.hpp
+++ b/src/autoscale/orphan_tracker.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Orphaned instances of one term of leadership. Owned by Inventory.
 
 #include <map>
--- a/src/autoscale/pool.hpp
+++ b/src/autoscale/pool.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Groups of interchangeable machines, and machines on their way. Shared by the autoscaler's parts.
 
 #include <map>
@@ -15,6 +15,7 @@
   std::string type;   ///< name of the machine type
   std::string zone;   ///< zone of the machines
   bool spot = false;  ///< spot machines; otherwise on-demand machines
+  /// Orders pools by all members.
   auto operator<=>(const Pool&) const = default;
 };
 
@@ -25,6 +26,7 @@
 
 /// A rented machine whose worker has not sent a heartbeat yet.
 struct PendingMachine {
+  /// Where it was rented.
   Pool pool;
   TimePoint since{};       ///< when it was rented
   TimePoint first_seen{};  ///< when this leader learned of it
--- a/src/autoscale/return_policy.hpp
+++ b/src/autoscale/return_policy.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Decides which machines are returned, and why. Owned by ScaleIn, which executes the returns.
 
 #include <map>
--- a/src/autoscale/scale_in.hpp
+++ b/src/autoscale/scale_in.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Returns machines that are not needed or not usable. Owned by Autoscaler.
 
 #include <vector>
--- a/src/autoscale/scale_out.hpp
+++ b/src/autoscale/scale_out.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Rents machines for waiting work. Owned by Autoscaler.
 
 #include <map>
--- a/src/base/stoppable.hpp
+++ b/src/base/stoppable.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Guard for callbacks that may arrive after the object that asked for them has ended.
 
 #include <memory>
--- a/src/cloud/catalog.hpp
+++ b/src/cloud/catalog.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// The cloud's machine types. Owned by Node, which refreshes it; read by the frontend, the leader
 /// and the autoscaler.
 
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Client of the cloud's interface for machines. Owned by Node; used by the operation runner and
 /// the autoscaler.
 
@@ -25,12 +25,14 @@
 
   /// Answer to a rental.
   struct RentResult {
+    /// How the request ended.
     enum class Outcome {
       Rented,       ///< some or all machines were granted
       NoCapacity,   ///< refused: no capacity, or the request is not valid
       NotExecuted,  ///< rejected by the rate limit or in an outage: certainly not executed
       Unknown       ///< no answer or an unreadable one: may have been executed
     };
+    /// How the request ended.
     Outcome outcome = Outcome::Unknown;
     std::vector<std::string> machines;  ///< for Rented: ids of the granted machines
   };
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// All that a leader knows of jobs and machines during one term.
 
 #include "cluster/job_table.hpp"
@@ -16,9 +16,13 @@
   ClusterState(const ClusterState&) = delete;
   ClusterState& operator=(const ClusterState&) = delete;
 
+  /// The live jobs.
   JobTable jobs;
+  /// All machines that are known.
   MachineTable machines;
+  /// What each team's tasks hold.
   TeamUsage team_usage;
+  /// How often machines are lost.
   MachineLosses losses;
 };
 
--- a/src/cluster/image_cache.hpp
+++ b/src/cluster/image_cache.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Which images a machine has cached, estimated from the tasks that it has run.
 
 #include <list>
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// One live job, as the leader knows it. Pure state: no I/O, no clock.
 
 #include <cstdint>
@@ -17,6 +17,7 @@
 
 /// Where a task is, or may be, running.
 struct Assignment {
+  /// Name of the machine.
   std::string machine;
   std::uint64_t attempt = 0;  ///< see AttemptId
   bool running = false;       ///< has been reported as running
@@ -26,8 +27,13 @@
 struct Job {
   /// Whether the job's first progress record is durable. It precedes the first start, so that the
   /// next leader knows that tasks may be running.
-  enum class StartRecord { Absent, Writing, Durable };
+  enum class StartRecord {
+    Absent,   ///< not written
+    Writing,  ///< its write has not been answered yet
+    Durable   ///< in the store
+  };
 
+  /// What its user submitted.
   JobSpecPtr spec;
   std::uint64_t version = 0;  ///< revision of the live record
   WallTime accepted{};        ///< when a user was told that the job is accepted
@@ -35,11 +41,15 @@
   // Progress.
   std::vector<bool> done;     ///< by task
   std::vector<bool> durable;  ///< the part of `done` that the store has
+  /// The number of tasks that are done.
   std::uint32_t done_count = 0;
   std::set<std::size_t> dirty_chunks;  ///< of the progress record; differ from the store's
+  /// State of the first progress record.
   StartRecord start_record = StartRecord::Absent;
   bool started_by_previous_leader = false;  ///< unreported tasks may run anywhere
+  /// A write of its progress has not been answered yet.
   bool progress_write_in_flight = false;
+  /// The write of its final record has not been answered yet.
   bool completion_write_in_flight = false;
   TimePoint last_flush{};  ///< when progress was last written
 
@@ -62,7 +72,9 @@
   std::uint32_t backoff_rounds = 0;  ///< how often it was delayed after failures
   TimePoint not_before{};            ///< no task is placed before
 
+  /// The number of tasks that are not done.
   std::uint32_t unfinished() const { return spec->tasks - done_count; }
+  /// Whether all tasks are done.
   bool all_done() const { return done_count == spec->tasks; }
 };
 
--- a/src/cluster/job_table.hpp
+++ b/src/cluster/job_table.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// The leader's table of live jobs, and the transitions of their tasks. Pure state.
 
 #include <cstdint>
@@ -19,12 +19,16 @@
  public:
   /// The job, or null.
   Job* find(const std::string& id);
+  /// The job, or null.
   const Job* find(const std::string& id) const;
   /// Adds a live job. One that is known already stays as it is.
   /// \param version revision of its live record
   Job& add(JobSpec spec, std::uint64_t version, WallTime accepted);
+  /// Removes the job; no effect if it is not there.
   void erase(const std::string& id);
+  /// All jobs, by id.
   std::map<std::string, Job>& all() { return jobs_; }
+  /// All jobs, by id.
   const std::map<std::string, Job>& all() const { return jobs_; }
 
   /// Assigns a task. False if it cannot run there: it is done, or assigned elsewhere.
--- a/src/cluster/machine.hpp
+++ b/src/cluster/machine.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// One machine, as the leader knows it from its worker's heartbeats. Pure state: no I/O, no clock.
 
 #include <compare>
@@ -33,6 +33,7 @@
 struct HeartbeatPosition {
   std::uint64_t epoch = 0;     ///< rises with each lease that the worker loses
   std::uint64_t sequence = 0;  ///< rises with each message of the worker
+  /// Orders positions by epoch, then sequence.
   auto operator<=>(const HeartbeatPosition&) const = default;
 };
 
@@ -57,15 +58,17 @@
 struct Machine {
   /// What the machine is there for. States are passed in this order.
   enum class Service {
-    InUse,
+    InUse,     ///< may be given work
     Draining,  ///< gets no new work; its attempts end or are stopped
     Returning  ///< as Draining; its return is, or may be, durable: the cloud may take it any time
   };
 
   // Identity.
+  /// Name of the machine.
   std::string id;
   std::string address;  ///< of its worker, host:port; empty: not known yet
   std::string type;     ///< name of its MachineType
+  /// Name of its zone.
   std::string zone;
   bool spot = false;  ///< a preemptible instance
 
@@ -84,13 +87,17 @@
   TimePoint last_answered{};  ///< an upper bound of the last renewal of its lease
 
   std::optional<TimePoint> reclaim_at;  ///< when the cloud takes it, by its preemption notice
+  /// What the machine is there for.
   Service service = Service::InUse;
   bool registered = false;  ///< in the durable registry: a later leader will wait for it
+  /// Written by leader::WorkerHealth only.
   WorkerHealthRecord health;
 
+  /// All attempts that run, or may run, on the machine.
   std::map<AttemptId, TaskAttempt> attempts;
   ResourceUsage usage;       ///< as of the last call of compute_usage()
   bool usage_stale = false;  ///< attempts have changed since `usage` was computed
+  /// The images that it is believed to have.
   ImageCache image_cache;
 
   /// Whether any attempt holds resources.
--- a/src/cluster/machine_losses.hpp
+++ b/src/cluster/machine_losses.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// How often machines are lost, by zone and kind.
 
 #include <cstddef>
@@ -25,6 +25,7 @@
   void record(const Machine& machine, TimePoint now);
   /// Expected losses of this machine a second, as its zone and kind have had them.
   double rate_of(const Machine& machine, TimePoint now) const;
+  /// The rates by zone and kind.
   const sched::LossRates& rates() const { return rates_; }
   /// Counts the machines that are reconciled and hold their lease.
   GroupSizes group_sizes() const;
--- a/src/cluster/machine_table.hpp
+++ b/src/cluster/machine_table.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// The leader's table of machines, brought up to date by heartbeats. Pure state: no I/O, no clock.
 
 #include <map>
@@ -14,6 +14,7 @@
 
 /// What a heartbeat, or the end of a lease, says about an attempt.
 struct TaskEvent {
+  /// What has happened.
   enum class Kind {
     Adopted,     ///< reported, and not known before
     Started,     ///< reported for the first time after its start command was sent
@@ -22,6 +23,7 @@
     NotStarted,  ///< surely not started, and never will be
     Vanished     ///< was there, and is gone without an exit
   };
+  /// What has happened.
   Kind kind;
   TaskAttempt attempt;  ///< a copy: as it was, or is, at that moment
 };
@@ -30,7 +32,10 @@
 class MachineTable {
  public:
   /// Whether a heartbeat changed anything.
-  enum class Order { New, Late };
+  enum class Order {
+    New,  ///< it was applied
+    Late  ///< it is not newer than what was applied, and changed nothing
+  };
   /// How a heartbeat reached the leader.
   enum class Source {
     Heartbeat,    ///< sent by the worker
@@ -41,9 +46,13 @@
   Machine& at(const std::string& id) { return machines_[id]; }
   /// The machine, or null.
   Machine* find(const std::string& id);
+  /// The machine, or null.
   const Machine* find(const std::string& id) const;
+  /// All machines, by name.
   std::map<std::string, Machine>& all() { return machines_; }
+  /// All machines, by name.
   const std::map<std::string, Machine>& all() const { return machines_; }
+  /// Removes the machine; no effect if it is not there.
   void erase(const std::string& id) { machines_.erase(id); }
 
   /// Applies a heartbeat that was sent under this leader's token. A late one changes nothing.
--- a/src/cluster/task_attempt.hpp
+++ b/src/cluster/task_attempt.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// One attempt to run a task on one machine, as the leader knows it.
 
 #include <cstdint>
@@ -15,6 +15,7 @@
 struct AttemptId {
   std::uint64_t attempt = 0;  ///< unique to an array's task, shared by the tasks of a gang
   TaskId task;                ///< the task that is attempted
+  /// Orders ids by attempt number, then task.
   auto operator<=>(const AttemptId&) const = default;
 };
 
@@ -32,6 +33,7 @@
   TaskId task;                ///< the task that is attempted
   std::uint64_t attempt = 0;  ///< see AttemptId
   JobSpecPtr job;             ///< null: the task's job is not known to this leader
+  /// How much is known of the attempt.
   Phase phase = Phase::Pending;
   TaskState state = TaskState::Fetching;   ///< as last reported; valid once Observed
   ExitCause cause = ExitCause::None;       ///< valid once Terminated
--- a/src/cluster/task_set.hpp
+++ b/src/cluster/task_set.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// A compact set of task indexes.
 
 #include <cstddef>
@@ -12,9 +12,13 @@
 /// takes one entry.
 class TaskSet {
  public:
+  /// The number of tasks.
   std::uint32_t size() const { return size_; }
+  /// Whether there is no task.
   bool empty() const { return size_ == 0; }
+  /// Whether the task is there.
   bool contains(std::uint32_t task) const;
+  /// Removes all tasks.
   void clear();
   /// Adds the task; no effect if it is there.
   void insert(std::uint32_t task);
--- a/src/cluster/team_usage.hpp
+++ b/src/cluster/team_usage.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// What each team's tasks hold on all machines.
 
 #include <map>
--- a/src/frontend/admission.hpp
+++ b/src/frontend/admission.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Decides whether a submitted job is admitted.
 
 #include <optional>
 #include <string>
--- a/src/frontend/canceller.hpp
+++ b/src/frontend/canceller.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Cancels jobs in the store.
 
 #include <functional>
 #include <string>
@@ -23,6 +25,7 @@
 /// Cancels jobs by a compare-and-swap on their live records. Owned by Frontend.
 class Canceller {
  public:
+  /// Told how the cancellation ended, and the job's state if it was not live.
   using OnDone = std::function<void(CancelOutcome, const JobState&)>;
 
   /// All references have to outlive this object.
--- a/src/frontend/frontend.hpp
+++ b/src/frontend/frontend.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// The users' interface: submissions, questions and cancellations.
 
 #include <cstdint>
 #include <functional>
@@ -16,7 +18,9 @@
 
 /// How many tasks of a job are done and running, for display.
 struct Counts {
+  /// Tasks that are done.
   std::uint32_t done = 0;
+  /// Tasks that are running.
   std::uint32_t running = 0;
 };
 /// Counts of jobs, by their ids.
--- a/src/frontend/job_lookup.hpp
+++ b/src/frontend/job_lookup.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Looks up the durable state of a job.
 
 #include <cstdint>
 #include <functional>
@@ -14,6 +16,7 @@
 
 /// What the state service knows about a job.
 struct JobState {
+  /// What the store holds of the job.
   enum class Outcome {
     /// Accepted, and neither done nor cancelled. `live` and `live_version` are set.
     Live,
@@ -24,10 +27,13 @@
     /// The state service does not answer, or the record is malformed.
     Unavailable
   };
+  /// What the store holds of the job.
   Outcome outcome = Outcome::Unavailable;
+  /// Live: the record.
   store::LiveRecord live;
   /// Version of the live record, for a compare-and-swap.
   std::uint64_t live_version = 0;
+  /// Final: the record.
   store::FinalRecord final;
 };
 
@@ -37,6 +43,7 @@
 /// Owned by Frontend.
 class JobLookup {
  public:
+  /// Told the state of the job.
   using OnFound = std::function<void(const JobState&)>;
 
   /// Both references have to outlive this object.
--- a/src/frontend/responses.hpp
+++ b/src/frontend/responses.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Responses that several handlers give.
 
 #include <string_view>
 
--- a/src/leader/attempt_tracker.hpp
+++ b/src/leader/attempt_tracker.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Applies what is learnt of task attempts to the job table.
 
 #include <vector>
@@ -16,6 +16,7 @@
 /// Turns task events into transitions of jobs: assignments, progress, retries. Owned by Term.
 class AttemptTracker {
  public:
+  /// All references outlive the tracker.
   AttemptTracker(const TermContext& context, cluster::ClusterState& cluster,
                  const JobTiming& timing, WorkerHealth& health, JobProgressLog& progress,
                  SchedulingTrigger& trigger)
--- a/src/leader/consolidator.hpp
+++ b/src/leader/consolidator.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Emptying costly machines whose tasks fit on others.
 
 #include <functional>
@@ -18,6 +18,7 @@
 /// Owned by Term.
 class Consolidator {
  public:
+  /// All references outlive the consolidator.
   Consolidator(const TermContext& context, cluster::ClusterState& cluster,
                SnapshotBuilder& snapshots, const SchedulingLoop& scheduling,
                const TermRecovery& recovery, const GangController& gangs)
--- a/src/leader/direct_command_dispatcher.hpp
+++ b/src/leader/direct_command_dispatcher.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Commands that are sent straight to workers, without waiting for their next heartbeat.
 
 #include <deque>
@@ -14,7 +14,9 @@
 
 /// A command and the machine that it is for.
 struct DirectCommand {
+  /// Name of the machine.
   std::string machine;
+  /// What its worker is told.
   Command command;
 };
 
@@ -24,7 +26,10 @@
 class DirectCommandDispatcher {
  public:
   /// Whether the response to a command, which is the worker's status after it, is wanted.
-  enum class Response { Ignore, Apply };
+  enum class Response {
+    Ignore,  ///< it is dropped
+    Apply    ///< it is handed to `on_response`
+  };
 
   /// \param on_response receives the responses that are wanted
   DirectCommandDispatcher(const TermContext& context, const cluster::MachineTable& machines,
--- a/src/leader/election.hpp
+++ b/src/leader/election.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Leader election: the lease of the leader's key.
 
 #include <cstdint>
 #include <functional>
--- a/src/leader/fenced_writer.hpp
+++ b/src/leader/fenced_writer.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Writes of the keys that only the leader changes.
 
 #include <cstdint>
@@ -20,6 +20,7 @@
   /// Told whether the write was committed.
   using Done = std::function<void(bool committed)>;
 
+  /// The context outlives the writer.
   explicit FencedWriter(const TermContext& context) : context_(context) {}
 
   /// Sends the transaction with the conditions added. `done` runs only while the term lasts. After
--- a/src/leader/gang_controller.hpp
+++ b/src/leader/gang_controller.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Gangs: checkpoint intervals, preemption notices, and stops of whole gangs.
 
 #include <optional>
@@ -15,6 +15,7 @@
 /// Term.
 class GangController {
  public:
+  /// All references outlive the controller.
   GangController(const TermContext& context, cluster::ClusterState& cluster,
                  DirectCommandDispatcher& direct_commands)
       : context_(context), cluster_(cluster), direct_commands_(direct_commands) {}
--- a/src/leader/heartbeat_commands.hpp
+++ b/src/leader/heartbeat_commands.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// The commands in the response to a heartbeat.
 
 #include <cstdint>
@@ -19,6 +19,7 @@
 /// Term.
 class HeartbeatCommands {
  public:
+  /// All references outlive this object.
   HeartbeatCommands(const TermContext& context, cluster::ClusterState& cluster,
                     const WorkerHealth& health, AttemptTracker& attempts,
                     const GangController& gangs)
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Heartbeats of workers: which count, what they change, and what they are answered.
 
 #include <cstdint>
@@ -20,10 +20,12 @@
 
 /// The answer to a heartbeat. src/node turns it into HTTP.
 struct HeartbeatResponse {
+  /// Whether the heartbeat is answered with commands.
   enum class Outcome {
     Accepted,    ///< the worker's lease is renewed
     AnswersLost  ///< refused: responses do not reach the worker, so its lease is left to expire
   };
+  /// Whether the heartbeat is answered with commands.
   Outcome outcome = Outcome::Accepted;
   std::uint64_t token = 0;        ///< Accepted: the fencing token
   std::vector<Command> commands;  ///< Accepted: to be carried out in this order
@@ -34,6 +36,7 @@
 /// moves the time at which the lease surely expires. Owned by Term.
 class HeartbeatHandler {
  public:
+  /// All references outlive the handler.
   HeartbeatHandler(const TermContext& context, cluster::ClusterState& cluster,
                    const ReturnedMachines& returned, TermRecovery& recovery,
                    MachineRegistry& registry, WorkerHealth& health, AttemptTracker& attempts,
--- a/src/leader/job_progress_log.hpp
+++ b/src/leader/job_progress_log.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Makes the progress and the end of jobs durable.
 
 #include <functional>
--- a/src/leader/job_timing.hpp
+++ b/src/leader/job_timing.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// How long jobs have waited, will take, and may still wait.
 
 #include "cluster/job.hpp"
@@ -10,6 +10,7 @@
 /// Times of jobs, as planning and log lines need them. Pure functions of a job and the clock.
 class JobTiming {
  public:
+  /// The context outlives this object.
   explicit JobTiming(const TermContext& context) : context_(context) {}
 
   /// Time since the job was accepted, never negative.
--- a/src/leader/lease_monitor.hpp
+++ b/src/leader/lease_monitor.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Decides when the lease of a worker has expired.
 
 #include "cluster/cluster_state.hpp"
@@ -16,6 +16,7 @@
 /// worker still says of the expired epoch is late. Owned by Term.
 class LeaseMonitor {
  public:
+  /// All references outlive the monitor.
   LeaseMonitor(const TermContext& context, cluster::ClusterState& cluster, AttemptTracker& attempts,
                MachineRegistry& registry, TermRecovery& recovery)
       : context_(context),
--- a/src/leader/live_jobs.hpp
+++ b/src/leader/live_jobs.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Which jobs are live in this term: accepted, and neither done nor cancelled.
 
 #include <deque>
@@ -20,7 +20,9 @@
 
 /// The arrival of a job.
 struct Arrival {
+  /// When the leader learnt of the job.
   TimePoint at{};
+  /// The job's description.
   JobSpecPtr job;
   double slack = 0;  ///< on arrival, see JobTiming::slack
 };
@@ -29,6 +31,7 @@
 /// Owned by Term.
 class LiveJobs {
  public:
+  /// All references outlive this object.
   LiveJobs(const TermContext& context, cluster::ClusterState& cluster, const JobTiming& timing,
            DirectCommandDispatcher& direct_commands, FencedWriter& writer,
            SchedulingTrigger& trigger)
--- a/src/leader/machine_registry.hpp
+++ b/src/leader/machine_registry.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// The durable list of machines that may hold tasks.
 
 #include <optional>
@@ -17,6 +17,7 @@
 /// that the next leader waits for it before it starts the same tasks elsewhere. Owned by Term.
 class MachineRegistry {
  public:
+  /// All references outlive the registry.
   MachineRegistry(const TermContext& context, cluster::MachineTable& machines, FencedWriter& writer)
       : context_(context), machines_(machines), writer_(writer) {}
 
--- a/src/leader/machine_removal.hpp
+++ b/src/leader/machine_removal.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Taking machines out of service, as the autoscaler asks.
 
 #include <string>
@@ -16,6 +16,7 @@
 /// Owned by Term.
 class MachineRemoval {
  public:
+  /// All references outlive this object.
   MachineRemoval(cluster::ClusterState& cluster, AttemptTracker& attempts,
                  MachineRegistry& registry, ReturnedMachines& returned, TermRecovery& recovery)
       : cluster_(cluster),
--- a/src/leader/returned_machines.hpp
+++ b/src/leader/returned_machines.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Machines that the cloud is taking back, or has taken back.
 
 #include <cstddef>
@@ -21,7 +21,9 @@
     // Names come in the order of creation: the first are the least likely to be met again.
     if (gone_.size() > kMaxGone) gone_.erase(gone_.begin());
   }
+  /// Whether the machine's return has begun and is not confirmed.
   bool returning(const std::string& machine) const { return returning_.count(machine) != 0; }
+  /// Whether the cloud has confirmed that the machine is gone.
   bool gone(const std::string& machine) const { return gone_.count(machine) != 0; }
 
  private:
--- a/src/leader/scheduling_loop.hpp
+++ b/src/leader/scheduling_loop.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// When to schedule, and what becomes of a plan: assignments, demand for machines, preemption.
 
 #include <cstdint>
@@ -22,6 +22,7 @@
 
 /// Waiting work for which the present machines have no room.
 struct Demand {
+  /// The job's description.
   JobSpecPtr job;
   std::uint32_t tasks = 0;  ///< within the team's limit
   Seconds remaining{0};     ///< estimated run time of a task
@@ -34,6 +35,7 @@
 /// Owned by Term.
 class SchedulingLoop {
  public:
+  /// All references outlive the loop.
   SchedulingLoop(const TermContext& context, cluster::ClusterState& cluster,
                  const JobTiming& timing, SnapshotBuilder& snapshots, const TermRecovery& recovery,
                  const GangController& gangs, DirectCommandDispatcher& direct_commands,
--- a/src/leader/snapshot_builder.hpp
+++ b/src/leader/snapshot_builder.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// What the scheduler decides on: schedulable machines, waiting jobs, and what the teams use.
 
 #include <string>
@@ -19,8 +19,11 @@
 /// A snapshot, and the machines and jobs that its `ref` fields are indexes of. The pointers hold
 /// until the tables change.
 struct SchedulingInput {
+  /// The scheduler's view of the cluster.
   sched::Snapshot snapshot;
+  /// The machines of the snapshot.
   std::vector<cluster::Machine*> machines;
+  /// The jobs of the snapshot.
   std::vector<cluster::Job*> jobs;
 };
 
@@ -28,6 +31,7 @@
 /// Term.
 class SnapshotBuilder {
  public:
+  /// All references outlive the builder.
   SnapshotBuilder(const TermContext& context, cluster::ClusterState& cluster,
                   const JobTiming& timing, const WorkerHealth& health, const TermRecovery& recovery,
                   const LiveJobs& live_jobs)
@@ -38,6 +42,7 @@
         recovery_(recovery),
         live_jobs_(live_jobs) {}
 
+  /// Builds a snapshot of the tables as they are now.
   SchedulingInput build();
   /// Whether any job may be placed now.
   bool any_placeable() const;
--- a/src/leader/term.hpp
+++ b/src/leader/term.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// One term of leadership: the modules that direct the cluster, and how they are wired.
 
 #include <cstdint>
@@ -39,8 +39,11 @@
 
 /// How many tasks of a job are done and running, for display.
 struct JobCounts {
+  /// Id of the job.
   std::string job;
+  /// Tasks that are done.
   std::uint32_t done = 0;
+  /// Tasks that are running.
   std::uint32_t running = 0;
 };
 
@@ -56,6 +59,7 @@
   Term(const Term&) = delete;
   Term& operator=(const Term&) = delete;
 
+  /// Begins recovery and the periodic loop. Called once, on an object that a shared_ptr owns.
   void start();
   /// Ends the term: nothing is ordered, answered or written any more.
   void stop() { context_.stopped = true; }
@@ -95,7 +99,9 @@
   const std::vector<Demand>& demand() const { return scheduling_.demand(); }
   /// See LiveJobs::arrivals.
   const std::deque<Arrival>& arrivals() const { return live_jobs_.arrivals(); }
+  /// All machines that are known.
   const cluster::MachineTable& machines() const { return cluster_.machines; }
+  /// The windowed loss rates of this term.
   const sched::LossRates& losses() const { return cluster_.losses.rates(); }
   /// See cluster::MachineLosses::group_sizes.
   cluster::GroupSizes group_sizes() const { return cluster_.losses.group_sizes(); }
--- a/src/leader/term_context.hpp
+++ b/src/leader/term_context.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// What all modules of a term of leadership have in common: its surroundings and its lifetime.
 
 #include <cstdint>
@@ -19,13 +19,19 @@
 
 /// The surroundings of a term. Owned by Term; its modules refer to it.
 struct TermContext {
+  /// Clock, timers and network.
   Runtime& runtime;
+  /// Client of the state service.
   store::Store& store;
+  /// The leader's lease.
   const Election& election;
+  /// The platform's settings.
   const Settings& settings;
+  /// The machine types.
   const cloud::Catalog& catalog;
   /// The term's fencing token.
   std::uint64_t token = 0;
+  /// When the term began.
   TimePoint elected_at{};
   /// Until when leaders before this term may act on their leases.
   TimePoint previous_leaders_expiry{};
@@ -34,6 +40,7 @@
   /// Whether the term is over. Nothing may be ordered, answered or written any more.
   bool stopped = false;
 
+  /// The steady clock.
   TimePoint now() const { return runtime.now(); }
 
   /// Wraps a callback that a module hands out, so that it does nothing once the term is over. The
--- a/src/leader/term_recovery.hpp
+++ b/src/leader/term_recovery.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// How a term begins: recovery from the store, the watch on live jobs, reconciliation with workers.
 
 #include <cstdint>
@@ -25,6 +25,7 @@
 /// Owned by Term.
 class TermRecovery {
  public:
+  /// All references outlive this object.
   TermRecovery(const TermContext& context, cluster::ClusterState& cluster, LiveJobs& live_jobs,
                MachineRegistry& registry, const ReturnedMachines& returned, FencedWriter& writer,
                SchedulingTrigger& trigger);
@@ -35,7 +36,9 @@
   /// heartbeat answered, before.
   void on_open_returns_known();
 
+  /// See above.
   bool recovered() const { return recovered_; }
+  /// See above.
   bool reconciled() const { return reconciled_; }
   /// Whether the view of the live jobs is recent enough for heartbeats to be answered. Each
   /// response may renew a lease, so a cancellation that the view lacks takes effect within
--- a/src/leader/worker_health.hpp
+++ b/src/leader/worker_health.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Which machines may be given work: quarantine of faulty and of unresponsive ones.
 
 #include <vector>
@@ -15,6 +15,7 @@
 /// failure fields of Job. Owned by Term.
 class WorkerHealth {
  public:
+  /// All references outlive this object.
   WorkerHealth(const TermContext& context, cluster::ClusterState& cluster)
       : context_(context), cluster_(cluster) {}
 
@@ -22,6 +23,7 @@
   bool schedulable(const cluster::Machine& machine) const {
     return schedulable(machine, context_.now());
   }
+  /// The same at a time that the caller has read from the clock.
   bool schedulable(const cluster::Machine& machine, TimePoint now) const;
 
   /// Whether the worker sends heartbeats and has never seen this leader's token for so long that
--- a/src/lease/acquirer.hpp
+++ b/src/lease/acquirer.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Acquisition of a lease: campaign, watch, claim.
 
 #include <cstdint>
 #include <functional>
@@ -20,6 +22,7 @@
 /// record, which shows the claim's id.
 class Acquirer {
  public:
+  /// Told of a claim that has succeeded.
   using OnAcquired = std::function<void(const AcquiredClaim&)>;
 
   /// `options` has to outlive the acquirer. `on_acquired` runs once for each successful claim.
--- a/src/lease/callback_guard.hpp
+++ b/src/lease/callback_guard.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Drops callbacks that come too late.
 
 #include <memory>
 #include <utility>
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// A named lease in the state service.
 
 #include <cstdint>
 #include <string>
--- a/src/lease/options.hpp
+++ b/src/lease/options.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// What distinguishes one lease from another, and what its owner is told.
 
 #include <cstdint>
 #include <functional>
--- a/src/lease/previous_holders.hpp
+++ b/src/lease/previous_holders.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Bound on the leases of holders before a forced claim.
 
 #include <cstdint>
 
--- a/src/lease/renewer.hpp
+++ b/src/lease/renewer.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Renewal of a held lease, and its validity.
 
 #include <cstdint>
 #include <functional>
--- a/src/node/catalog_refresher.hpp
+++ b/src/node/catalog_refresher.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Keeps the machine types up to date.
 
 #include <optional>
 #include <vector>
--- a/src/node/heartbeat_endpoint.hpp
+++ b/src/node/heartbeat_endpoint.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Answers the workers' heartbeats.
 
 #include <string>
 
--- a/src/node/leadership_monitor.hpp
+++ b/src/node/leadership_monitor.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// When to step down, and when to force a failover.
 
 #include <string>
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// One controller node: everything but the sockets.
 
 #include <string>
 
--- a/src/node/peer_gossip.hpp
+++ b/src/node/peer_gossip.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Messages between the nodes.
 
 #include <cstdint>
 #include <string>
--- a/src/node/peer_table.hpp
+++ b/src/node/peer_table.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// What the peers have last said of themselves.
 
 #include <map>
 #include <string>
--- a/src/node/recent_cancellations.hpp
+++ b/src/node/recent_cancellations.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Cancellations that are still gossiped.
 
 #include <deque>
 #include <string>
--- a/src/node/request_router.hpp
+++ b/src/node/request_router.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Routes HTTP requests to their handlers.
 
 #include <string_view>
 
--- a/src/node/store_probe.hpp
+++ b/src/node/store_probe.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Keeps an idle node's view of the state service current.
 
 #include "base/runtime.hpp"
 #include "store/store.hpp"
--- a/src/node/term_runner.hpp
+++ b/src/node/term_runner.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Runs one term of leadership.
 
 #include <memory>
 
--- a/src/provisioning/admin_commands.hpp
+++ b/src/provisioning/admin_commands.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Admin commands on provisioning. They read and write the state service directly, so they work
 /// whatever state the nodes are in. Used by main().
 
--- a/src/provisioning/admin_control.hpp
+++ b/src/provisioning/admin_control.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Follows what an administrator has requested of provisioning. Owned by ProvisioningController.
 
 #include <cstdint>
--- a/src/provisioning/fencing_authority.hpp
+++ b/src/provisioning/fencing_authority.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Interface through which operations are fenced. Implemented by ProvisioningController; used by
 /// OperationRunner and StoredOperationLog.
 
--- a/src/provisioning/name_table.hpp
+++ b/src/provisioning/name_table.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Look-up between enum values and the names that stored records use for them.
 
 #include <array>
--- a/src/provisioning/operation.hpp
+++ b/src/provisioning/operation.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Operations on cloud machines: their kinds, their states and the reasons for returns. Pure types,
 /// shared by the operation log, the operation runner and the autoscaler.
 
@@ -57,6 +57,7 @@
   std::string zone;       ///< zone of all machines
   bool spot = false;      ///< spot machines; otherwise on-demand machines
   std::size_t count = 0;  ///< number of machines; 1 to wire::kMostRented
+  /// Compares all members.
   bool operator==(const Rental&) const = default;
 };
 
@@ -66,7 +67,9 @@
 /// One request to the cloud, as the operation log stores it.
 struct Operation {
   std::string name;  ///< Unique for ever, over all nodes. The cloud deduplicates rentals by it.
+  /// Whether it rents or returns.
   OperationKind kind = OperationKind::Rent;
+  /// How far it has come.
   OperationState state = OperationState::Pending;
   std::uint64_t token = 0;            ///< fencing token under which it began
   std::string holder;                 ///< node that began it
@@ -74,17 +77,22 @@
   Rental rental;                      ///< for Rent
   std::vector<std::string> machines;  ///< for Rent in state Granted: the granted machines
   Returns returns;                    ///< for Return
+  /// Compares all members.
   bool operator==(const Operation&) const = default;
 };
 
 /// Names used in stored records, log lines and the output of admin commands.
 std::string_view to_string(OperationKind kind);
+/// The state's word in records.
 std::string_view to_string(OperationState state);
+/// The reason's word in records.
 std::string_view to_string(ReturnReason reason);
 
 /// Inverse of to_string(); nothing if the name is unknown.
 std::optional<OperationKind> parse_operation_kind(std::string_view name);
+/// The state with this word; none if there is none.
 std::optional<OperationState> parse_operation_state(std::string_view name);
+/// The reason with this word; none if there is none.
 std::optional<ReturnReason> parse_return_reason(std::string_view name);
 
 /// Describes what the operation asks for, for log lines and admin commands: "rent 3 of spot c16 in
--- a/src/provisioning/operation_log.hpp
+++ b/src/provisioning/operation_log.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Interface of the operation log: operations are durable before the cloud is asked, and their
 /// results afterwards. Used by OperationRunner.
 
--- a/src/provisioning/operation_runner.hpp
+++ b/src/provisioning/operation_runner.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Executes operations on machines for one term of leadership. Created by ProvisioningController,
 /// driven by the autoscaler.
 
@@ -67,7 +67,10 @@
 
  private:
   /// Whether a request's call has been taken from the cloud's rate limit already.
-  enum class CallBudget { Taken, NotTaken };
+  enum class CallBudget {
+    Taken,    ///< by the caller
+    NotTaken  ///< counts when the request is sent
+  };
 
   void on_log_loaded(const std::vector<Operation>& operations);
   void recover(const Operation& operation);
--- a/src/provisioning/orphan_publisher.hpp
+++ b/src/provisioning/orphan_publisher.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Writes the orphaned instances for administrators. Owned by ProvisioningController.
 
 #include <vector>
--- a/src/provisioning/provisioning_controller.hpp
+++ b/src/provisioning/provisioning_controller.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// Decides which node provisions machines: the leader, under a lease of its own. Owned by Node.
 
 #include <functional>
--- a/src/provisioning/records.hpp
+++ b/src/provisioning/records.hpp
@@ -1,9 +1,9 @@
 #pragma once
-/// \file
+/// @file
 /// Encoding of the provisioning records in the state service:
 ///
 ///   duty/machines             the provisioning lease; the key's version is the fencing token
-///   ledger/machines/<name>    one operation of the operation log
+///   ledger/machines/NAME    one operation of the operation log
 ///   orphans/machines          orphaned instances, for administrators
 ///   control/machines          what an administrator has requested: pause, handover
 ///
@@ -19,8 +19,11 @@
 
 /// Keys, see above. Stored data depends on them.
 inline constexpr const char* kLeaseKey = "duty/machines";
+/// Prefix of the keys of operations.
 inline constexpr const char* kOperationPrefix = "ledger/machines/";
+/// Key of the published orphans.
 inline constexpr const char* kOrphansKey = "orphans/machines";
+/// Key of what administrators have requested.
 inline constexpr const char* kControlKey = "control/machines";
 
 /// Returns the key of the operation's record.
@@ -47,6 +50,7 @@
 /// A machine that the cloud lists but neither the operation log nor the leader knows, or one that
 /// was granted and never listed.
 struct OrphanedInstance {
+  /// What is known of the machine.
   enum class State {
     Waiting,       ///< listed, and no heartbeat has come yet
     InUse,         ///< its worker sends heartbeats
@@ -57,6 +61,7 @@
   std::string machine;           ///< the machine's id
   State state = State::Waiting;  ///< what has become of it
   WallTime since{};              ///< when the leader first noticed it
+  /// Compares all members.
   bool operator==(const OrphanedInstance&) const = default;
 };
 /// Name of the state in the stored record, log lines and admin commands.
--- a/src/provisioning/stored_operation_log.hpp
+++ b/src/provisioning/stored_operation_log.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// \file
+/// @file
 /// The operation log in the state service. Created by ProvisioningController for each term.
 
 #include <map>
@@ -46,7 +46,11 @@
     std::uint64_t settled_token = 0;  ///< token under which it became Settled; 0: not Settled
     std::function<void(AppendOutcome)> on_appended;  ///< empty once the outcome is known
   };
-  enum class WriteKind { Put, Removal };
+  /// What a write does to a record.
+  enum class WriteKind {
+    Put,     ///< writes its state
+    Removal  ///< removes it
+  };
 
   void on_listed(const store::ListResult& result, std::function<void(std::vector<Operation>)> done);
   std::vector<Operation> decode(const std::vector<wire::Item>& items);
