--- a/tests/golden_fixture.hpp
+++ b/tests/golden_fixture.hpp
@@ -44,7 +44,7 @@
 }
 
 inline void expect_request(const HttpRequest& request, const char* method, const char* target,
-                    const char* body) {
+                           const char* body) {
   EXPECT_EQ(request.method, method);
   EXPECT_EQ(request.target, target);
   EXPECT_EQ(request.body, body);
--- a/tests/provisioning_fixture.hpp
+++ b/tests/provisioning_fixture.hpp
@@ -35,7 +35,8 @@
 
 /// Runs until `until` and expects that the jobs are done and all machines returned, with no
 /// operation left open.
-inline void expect_clean_end(Scenario& scenario, const std::vector<std::string>& jobs, double until) {
+inline void expect_clean_end(Scenario& scenario, const std::vector<std::string>& jobs,
+                             double until) {
   scenario.run_until(until);
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
   for (const auto& job : jobs) EXPECT_EQ(scenario.checker.final_stage(job), "done") << job;
--- a/tests/provisioning_test.cpp
+++ b/tests/provisioning_test.cpp
@@ -102,8 +102,8 @@
                                         HttpResponse& response) {
     if (!is_accepted_heartbeat(request, response)) return;
     if (returning.count(Json::parse(request.body)["host"].get<std::string>()) == 0) return;
-    for (const auto& command : Json::parse(response.body)["orders"])
-      started += command["verb"] == "run" ? 1 : 0;
+    const auto answer = Json::parse(response.body);
+    for (const auto& command : answer["orders"]) started += command["verb"] == "run" ? 1 : 0;
   };
   // More than all machines hold.
   const auto second = scenario.users.submit(array_job(60, 20));
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -207,7 +207,7 @@
   auto& simulator = environment_.simulator;
   char buffer[16];
   std::snprintf(buffer, sizeof buffer, "n-%06u", ++last_machine_);
-  const std::string id = buffer;
+  std::string id = buffer;
   machines_[id] = {pool, "10.1.0." + std::to_string(last_machine_) + ":9000", simulator.elapsed(),
                    nullptr};
   ++requests.rented;
--- a/tests/sim/simulator.hpp
+++ b/tests/sim/simulator.hpp
@@ -6,6 +6,7 @@
 #include <functional>
 #include <queue>
 #include <random>
+#include <utility>
 
 #include "base/runtime.hpp"
 
@@ -28,7 +29,8 @@
   /// in the order in which they were scheduled.
   template <typename Rep, typename Period>
   void schedule(std::chrono::duration<Rep, Period> delay, std::function<void()> action) {
-    push(std::chrono::duration_cast<Duration>(delay), std::move(action));
+    const Duration rounded = std::chrono::duration_cast<Duration>(delay);
+    push(rounded, std::move(action));
   }
   /// Runs all actions that are due by `end`, in seconds since the run began.
   void run_until(double end);
--- a/tests/sim/user_client.cpp
+++ b/tests/sim/user_client.cpp
@@ -33,7 +33,7 @@
       node_addresses_(std::move(node_addresses)) {}
 
 std::string UserClient::submit(Submission job) {
-  const auto id = job_id(++last_job_);
+  auto id = job_id(++last_job_);
   job.complete_requirements();
   jobs_.workloads[id] = job.workload;
   submissions_[id] = job;
