--- a/src/leader/consolidator.hpp
+++ b/src/leader/consolidator.hpp
@@ -19,11 +19,10 @@
 class Consolidator {
  public:
   /// All references outlive the consolidator.
-  Consolidator(const TermContext& context, cluster::ClusterState& cluster,
-               SnapshotBuilder& snapshots, const SchedulingLoop& scheduling,
-               const TermRecovery& recovery, const GangController& gangs)
+  Consolidator(const TermContext& context, SnapshotBuilder& snapshots,
+               const SchedulingLoop& scheduling, const TermRecovery& recovery,
+               const GangController& gangs)
       : context_(context),
-        cluster_(cluster),
         snapshots_(snapshots),
         scheduling_(scheduling),
         recovery_(recovery),
@@ -40,7 +39,6 @@
   void evict_tasks(cluster::Machine& machine) const;
 
   const TermContext& context_;
-  cluster::ClusterState& cluster_;
   SnapshotBuilder& snapshots_;
   const SchedulingLoop& scheduling_;
   const TermRecovery& recovery_;
--- a/src/leader/heartbeat_commands.hpp
+++ b/src/leader/heartbeat_commands.hpp
@@ -20,10 +20,9 @@
 class HeartbeatCommands {
  public:
   /// All references outlive this object.
-  HeartbeatCommands(const TermContext& context, cluster::ClusterState& cluster,
-                    const WorkerHealth& health, AttemptTracker& attempts,
-                    const GangController& gangs)
-      : context_(context), cluster_(cluster), health_(health), attempts_(attempts), gangs_(gangs) {}
+  HeartbeatCommands(cluster::ClusterState& cluster, const WorkerHealth& health,
+                    AttemptTracker& attempts, const GangController& gangs)
+      : cluster_(cluster), health_(health), attempts_(attempts), gangs_(gangs) {}
 
   /// The commands for a machine whose heartbeat has just been applied. Marks the starts among them
   /// as dispatched.
@@ -43,7 +42,6 @@
   bool may_acknowledge(const cluster::TaskAttempt& attempt) const;
   void add_starts(cluster::Machine& machine, std::vector<Command>& commands) const;
 
-  const TermContext& context_;
   cluster::ClusterState& cluster_;
   const WorkerHealth& health_;
   AttemptTracker& attempts_;
--- a/src/leader/scheduling_loop.hpp
+++ b/src/leader/scheduling_loop.hpp
@@ -36,12 +36,10 @@
 class SchedulingLoop {
  public:
   /// All references outlive the loop.
-  SchedulingLoop(const TermContext& context, cluster::ClusterState& cluster,
-                 const JobTiming& timing, SnapshotBuilder& snapshots, const TermRecovery& recovery,
-                 const GangController& gangs, DirectCommandDispatcher& direct_commands,
-                 SchedulingTrigger& trigger)
+  SchedulingLoop(const TermContext& context, const JobTiming& timing, SnapshotBuilder& snapshots,
+                 const TermRecovery& recovery, const GangController& gangs,
+                 DirectCommandDispatcher& direct_commands, SchedulingTrigger& trigger)
       : context_(context),
-        cluster_(cluster),
         timing_(timing),
         snapshots_(snapshots),
         recovery_(recovery),
@@ -75,7 +73,6 @@
   Seconds work_lost_by_stop(const cluster::TaskAttempt& attempt) const;
 
   const TermContext& context_;
-  cluster::ClusterState& cluster_;
   const JobTiming& timing_;
   SnapshotBuilder& snapshots_;
   const TermRecovery& recovery_;
--- a/src/leader/term.cpp
+++ b/src/leader/term.cpp
@@ -30,15 +30,15 @@
                 scheduling_trigger_),
       attempts_(context_, cluster_, timing_, health_, progress_, scheduling_trigger_),
       gangs_(context_, cluster_, direct_commands_),
-      heartbeat_commands_(context_, cluster_, health_, attempts_, gangs_),
+      heartbeat_commands_(cluster_, health_, attempts_, gangs_),
       snapshots_(context_, cluster_, timing_, health_, recovery_, live_jobs_),
-      scheduling_(context_, cluster_, timing_, snapshots_, recovery_, gangs_, direct_commands_,
+      scheduling_(context_, timing_, snapshots_, recovery_, gangs_, direct_commands_,
                   scheduling_trigger_),
       heartbeats_(context_, cluster_, returned_machines_, recovery_, registry_, health_, attempts_,
                   gangs_, heartbeat_commands_, scheduling_),
       lease_monitor_(context_, cluster_, attempts_, registry_, recovery_),
       removal_(cluster_, attempts_, registry_, returned_machines_, recovery_),
-      consolidator_(context_, cluster_, snapshots_, scheduling_, recovery_, gangs_) {}
+      consolidator_(context_, snapshots_, scheduling_, recovery_, gangs_) {}
 
 void Term::start() {
   context_.owner = weak_from_this();
