--- a/tests/load/profile.sh
+++ b/tests/load/profile.sh
@@ -34,7 +34,7 @@
       'asterstair::autoscale::Autoscaler::tick*' -- "$build/asterstair_leader_load" "$per_pool" "$seconds"
     ;;
   peers)
-    profile 'asterstair::Node::gossip*' 'asterstair::Node::peer_message*' \
+    profile 'asterstair::PeerGossip::publish*' 'asterstair::Node::peer_message*' \
       -- "$build/asterstair_leader_load" "$per_pool" "$seconds"
     ;;
   takeover)
