--- a/src/cloud/catalog.cpp
+++ b/src/cloud/catalog.cpp
@@ -12,7 +12,8 @@
       if (!job.zone || *job.zone == zone) zones.insert(zone);
     }
   }
-  // A spread gang starts as a whole, with at most half of its tasks in one zone.
+  // All tasks of a gang start together, and a spread gang may have at most half of them in one
+  // zone.
   const bool needs_two_zones = job.gang() && job.spread && job.tasks > 1;
   return needs_two_zones ? zones.size() > 1 && !job.one_zone : !zones.empty();
 }
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -6,22 +6,23 @@
 namespace {
 
 constexpr auto kRequestTimeout = 5s;
-// Pause after the cloud has rejected a call: other nodes use the same limit.
+// Pause after the cloud has rejected a request because of its rate limit, which all nodes share.
 constexpr auto kRateLimitPause = 500ms;
-// Part of the rate limit that this node uses: calls of a previous leader may count still.
+// Share of the rate limit that this node uses. The rest is left for recent requests of a previous
+// leader, which still count against the limit.
 constexpr double kRateShare = 0.8;
 
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
-// Sent by clouds that check fencing tokens and have seen a newer one. The outcome counts as
-// unknown: the successor completes the operation.
+// Sent by clouds that check fencing tokens and have seen a newer one. The outcome is treated as
+// unknown: the new leader completes the operation.
 constexpr int kFenced = 409;
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
-// Returns what `decode` returns, or nothing if it throws.
+// Returns the result of `decode`, or std::nullopt if it throws.
 template <typename Decode>
-auto decoded_or_nothing(Decode decode) -> std::optional<decltype(decode())> {
+auto decode_or_nullopt(Decode decode) -> std::optional<decltype(decode())> {
   try {
     return decode();
   } catch (const std::exception& error) {
@@ -34,7 +35,7 @@
   using Outcome = Cloud::RentResult::Outcome;
   switch (response.status) {
     case kOk: {
-      auto machines = decoded_or_nothing([&] { return wire::decode_rented(response.body); });
+      auto machines = decode_or_nullopt([&] { return wire::decode_rented(response.body); });
       if (!machines) return {Outcome::Unknown, {}};
       return {Outcome::Rented, std::move(*machines)};
     }
@@ -60,11 +61,11 @@
 Cloud::Cloud(Runtime& runtime, const Settings& settings)
     : runtime_(runtime),
       address_(settings.cloud_address),
-      calls_(settings.cloud_rps * kRateShare, settings.cloud_rps) {}
+      rate_limiter_(settings.cloud_rps * kRateShare, settings.cloud_rps) {}
 
-bool Cloud::may_call() { return calls_.wait_for(1, runtime_.now()) <= Duration::zero(); }
+bool Cloud::may_call() { return rate_limiter_.wait_for(1, runtime_.now()) <= Duration::zero(); }
 
-void Cloud::count_call() { calls_.take_unconditionally(1, runtime_.now()); }
+void Cloud::count_call() { rate_limiter_.take_unconditionally(1, runtime_.now()); }
 
 void Cloud::send_counted(HttpRequest request, HttpCallback done) {
   count_call();
@@ -75,21 +76,21 @@
   runtime_.http(address_, std::move(request), kRequestTimeout,
                 [this, done = std::move(done)](HttpResponse response) {
                   if (response.status == kTooManyRequests) {
-                    calls_.on_rate_limited(runtime_.now(), kRateLimitPause);
+                    rate_limiter_.on_rate_limited(runtime_.now(), kRateLimitPause);
                   }
                   done(std::move(response));
                 });
 }
 
 void Cloud::fetch_machine_types(std::function<void(std::optional<std::vector<MachineType>>)> done) {
-  send_counted(
-      wire::machine_types_request(), [done = std::move(done)](const HttpResponse& response) {
-        if (response.status != kOk) {
-          done(std::nullopt);
-          return;
-        }
-        done(decoded_or_nothing([&] { return wire::decode_machine_types(response.body); }));
-      });
+  send_counted(wire::machine_types_request(),
+               [done = std::move(done)](const HttpResponse& response) {
+                 if (response.status != kOk) {
+                   done(std::nullopt);
+                   return;
+                 }
+                 done(decode_or_nullopt([&] { return wire::decode_machine_types(response.body); }));
+               });
 }
 
 void Cloud::rent_machines(const wire::RentalRequest& request,
@@ -102,7 +103,7 @@
                             std::function<void(ReturnOutcome)> done) {
   send(wire::return_request(order), [done = std::move(done)](const HttpResponse& response) {
     if (response.status == kFenced) log::error("cloud: a return was fenced off: {}", response.body);
-    done(response.status == kOk ? ReturnOutcome::Gone : ReturnOutcome::Unknown);
+    done(response.status == kOk ? ReturnOutcome::Returned : ReturnOutcome::Unknown);
   });
 }
 
@@ -113,7 +114,7 @@
       done(std::nullopt);
       return;
     }
-    done(decoded_or_nothing([&] { return wire::decode_machines(response.body); }));
+    done(decode_or_nullopt([&] { return wire::decode_machines(response.body); }));
   });
 }
 
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Client of the cloud's interface for machines. Owned by Node; used by the operation runner and
-/// the autoscaler.
+/// Client of the cloud's machine API. Owned by Node; used by the operation runner and the
+/// autoscaler.
 
 #include <functional>
 #include <optional>
@@ -15,49 +15,49 @@
 
 namespace asterstair::cloud {
 
-/// Sends requests within the cloud's rate limit. Tells a request that was certainly not executed
-/// from one with an unknown outcome. Does not retry. Every callback runs exactly once, at the
+/// Sends requests within the cloud's rate limit. Distinguishes requests that were not executed from
+/// requests with an unknown outcome. Does not retry. Every callback runs exactly once, at the
 /// latest after the request timeout. Must outlive the callbacks.
 class Cloud {
  public:
   /// Uses the address and the rate limit of the settings.
   Cloud(Runtime& runtime, const Settings& settings);
 
-  /// Answer to a rental.
+  /// Result of a rental.
   struct RentResult {
     /// How the request ended.
     enum class Outcome {
-      Rented,       ///< some or all machines were granted
-      NoCapacity,   ///< refused: no capacity, or the request is not valid
-      NotExecuted,  ///< rejected by the rate limit or in an outage: certainly not executed
-      Unknown       ///< no answer or an unreadable one: may have been executed
+      Rented,       ///< some or all of the machines were granted
+      NoCapacity,   ///< refused: no capacity, or the request is invalid
+      NotExecuted,  ///< rejected by the rate limit or during an outage; not executed
+      Unknown       ///< no answer or a malformed one; may have been executed
     };
     /// How the request ended.
     Outcome outcome = Outcome::Unknown;
-    std::vector<std::string> machines;  ///< for Rented: ids of the granted machines
+    std::vector<std::string> machines;  ///< ids of the granted machines, if Rented
   };
 
-  /// Answer to a return.
+  /// Result of a return.
   enum class ReturnOutcome {
-    Gone,    ///< the machines and everything on them are gone
-    Unknown  ///< any other answer or none: the return may yet be executed
+    Returned,  ///< the machines are terminated and their data is deleted
+    Unknown    ///< any other answer or none; the return may still be executed
   };
 
-  /// Whether the rate limit allows a call now.
+  /// Returns whether the rate limit allows a request now.
   bool may_call();
-  /// Takes one call from the rate limit. Callers of rent_machines() and return_machines() do this
-  /// when they decide on the operation, which may be some time before they send it. The other
-  /// requests count themselves.
+  /// Counts one request against the rate limit. Callers of rent_machines() and return_machines()
+  /// call this when they decide on the operation, which may be some time before they send the
+  /// request. The other functions count their requests themselves.
   void count_call();
 
-  /// Fetches all machine types; nothing on any failure.
+  /// Fetches all machine types; the result is std::nullopt on any failure.
   void fetch_machine_types(std::function<void(std::optional<std::vector<MachineType>>)> done);
-  /// Rents machines. Idempotent by the request's name.
+  /// Rents machines. Idempotent: the cloud executes requests with the same name only once.
   void rent_machines(const wire::RentalRequest& request, std::function<void(RentResult)> done);
-  /// Returns machines. Repeating a return, or naming unknown machines, has no effect.
+  /// Returns machines. Idempotent; unknown machines are ignored.
   void return_machines(const wire::ReturnOrder& order, std::function<void(ReturnOutcome)> done);
-  /// Lists one page of machines whose ids come after `after`; nothing on any failure. The list may
-  /// lag by the settings' list lag.
+  /// Lists one page of the machines whose ids follow `after`; the result is std::nullopt on any
+  /// failure. The list may lag behind the actual state by the list lag in the settings.
   void list_machines(const std::string& after,
                      std::function<void(std::optional<wire::MachinePage>)> done);
 
@@ -67,7 +67,7 @@
 
   Runtime& runtime_;
   std::string address_;
-  store::TokenBucket calls_;  ///< this node's share of the rate limit
+  store::TokenBucket rate_limiter_;  ///< for this node's share of the cloud's rate limit
 };
 
 }  // namespace asterstair::cloud
--- a/src/provisioning/operation_runner.cpp
+++ b/src/provisioning/operation_runner.cpp
@@ -215,7 +215,7 @@
 
 void OperationRunner::on_return_answer(const std::string& name,
                                        cloud::Cloud::ReturnOutcome outcome) {
-  if (outcome != cloud::Cloud::ReturnOutcome::Gone) {
+  if (outcome != cloud::Cloud::ReturnOutcome::Returned) {
     send_later(name, kReturnRetryDelay);
     return;
   }
