--- a/src/autoscale/desired_machines.cpp
+++ b/src/autoscale/desired_machines.cpp
@@ -94,7 +94,7 @@
     if (job.memory_gb > 0) tasks = std::min(tasks, type.memory_gb / job.memory_gb);
     const double runs = 1 + sched::loss_probability(loss_rate, demand.remaining);
     const double price = spot ? type.spot_price : type.price;
-    return price * runs / std::floor(tasks + sched::kRounding);
+    return price * runs / std::floor(tasks + sched::kRoundingTolerance);
   }
 
   // Whether the job may use the type. Accelerators are kept for jobs that need them, unless the
--- a/src/leader/consolidator.cpp
+++ b/src/leader/consolidator.cpp
@@ -136,8 +136,9 @@
 
 Seconds Consolidator::cost_of_move(const Machine& machine, const JobSpec& job) const {
   const auto* type = context_.catalog.find(machine.type);
-  const double fetch_rate =
-      type != nullptr && type->fetch_gb_per_s > 0 ? type->fetch_gb_per_s : sched::kFetchGbPerSecond;
+  const double fetch_rate = type != nullptr && type->fetch_gb_per_s > 0
+                                ? type->fetch_gb_per_s
+                                : sched::kDefaultFetchGbPerSecond;
   return job.save + sched::start_delay(job.image_gb, false, fetch_rate);
 }
 
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -60,7 +60,7 @@
   auto input = snapshots_.build();
   const auto avoided = avoided_machines(input);
   for (std::size_t job = 0; job < input.jobs.size(); ++job) {
-    if (!avoided[job].empty()) input.snapshot.jobs[job].avoid = &avoided[job];
+    if (!avoided[job].empty()) input.snapshot.jobs[job].avoided_machines = &avoided[job];
   }
   auto plan = sched::plan(input.snapshot, context_.runtime.rng());
   std::map<std::string, std::uint64_t> gang_attempts;
--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -95,7 +95,7 @@
   }
   if (gpus <= 0) return;
   snapshot.cpus_per_gpu = cpus / gpus;
-  snapshot.keep_gpus = gpus * (kReservationHorizon / Seconds(kArrivalWindow));
+  snapshot.reserved_gpus = gpus * (kReservationHorizon / Seconds(kArrivalWindow));
 }
 
 void SnapshotBuilder::add_jobs(SchedulingInput& input, const TasksByJobAndZone& in_zone) {
--- a/src/sched/accelerator_reserve.cpp
+++ b/src/sched/accelerator_reserve.cpp
@@ -5,7 +5,7 @@
 namespace asterstair::sched {
 
 AcceleratorReserve::AcceleratorReserve(const Snapshot& snapshot)
-    : keep_gpus_(snapshot.keep_gpus), cpus_per_gpu_(snapshot.cpus_per_gpu) {
+    : reserved_gpus_(snapshot.reserved_gpus), cpus_per_gpu_(snapshot.cpus_per_gpu) {
   for (const PlanMachine& machine : snapshot.machines) add(machine.free);
 }
 
@@ -16,8 +16,8 @@
     return tasks_that_fit(spec, machine.free);
   }
   Resources free = machine.free;
-  const double spare = std::max(0.0, usable_ - keep_gpus_);
-  free.cpus -= std::max(0.0, usable_accelerators(free) - spare) * cpus_per_gpu_;
+  const double unreserved = std::max(0.0, usable_ - reserved_gpus_);
+  free.cpus -= std::max(0.0, usable_accelerators(free) - unreserved) * cpus_per_gpu_;
   return free.cpus <= 0 ? 0 : tasks_that_fit(spec, free);
 }
 
--- a/src/sched/array_placement.cpp
+++ b/src/sched/array_placement.cpp
@@ -8,7 +8,7 @@
 namespace asterstair::sched {
 namespace {
 
-// Returns whether any task was placed.
+// Places waiting tasks on the candidates, in their order. Returns whether any task was placed.
 bool place_on(PlanningRound& round, PlanJob& planned,
               const std::vector<RankedMachine>& candidates) {
   bool any_placed = false;
--- a/src/sched/array_placement.hpp
+++ b/src/sched/array_placement.hpp
@@ -8,8 +8,8 @@
 
 namespace asterstair::sched {
 
-/// Places as many waiting tasks of the job as find room. It ranks random samples of the machines in
-/// place of a full search, and takes further samples while tasks are left.
+/// Places as many of the job's waiting tasks as fit. Ranks random samples of the machines instead
+/// of searching all of them, and draws further samples while tasks are waiting.
 void place_array(PlanningRound& round, std::size_t job_index);
 
 }  // namespace asterstair::sched
--- a/src/sched/constraints.cpp
+++ b/src/sched/constraints.cpp
@@ -26,10 +26,10 @@
   if (job.zone && *job.zone != zone) return 0;
   if (job.one_zone && has_tasks_outside(in_zone, zone)) return 0;
   if (!job.spread) return UINT32_MAX;
-  const std::uint32_t most = (job.tasks + 1) / 2;
+  const std::uint32_t max_in_zone = (job.tasks + 1) / 2;
   const auto it = in_zone.find(zone);
-  const std::uint32_t there = it == in_zone.end() ? 0 : it->second;
-  return there >= most ? 0 : most - there;
+  const std::uint32_t placed = it == in_zone.end() ? 0 : it->second;
+  return placed >= max_in_zone ? 0 : max_in_zone - placed;
 }
 
 std::uint32_t tasks_within_quota(const TeamState& team, const JobSpec& job) {
--- a/src/sched/constraints.hpp
+++ b/src/sched/constraints.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The placement constraints of PROTOCOL: machine types, zones and kinds of machines that a job
-/// allows, and the quota of its team. Called by the planner, by preemption, and by the leader and
-/// the autoscaler where they ask whether a machine could take a job at all.
+/// Placement constraints (PROTOCOL): the machine types, the zones and the use of spot machines that
+/// a job allows, and its team's quota. Called by the planner, by preemption, and by the leader and
+/// the autoscaler to check whether a machine is eligible for a job.
 
 #include <cstdint>
 
@@ -10,16 +10,16 @@
 
 namespace asterstair::sched {
 
-/// Returns whether the job's description allows the machine. Rules that depend on where the job's
-/// other tasks are (one zone, spread) are left to tasks_allowed_in_zone().
+/// Returns whether the job's description allows the machine. Constraints that depend on where the
+/// job's other tasks are (one zone, spread) are checked by tasks_allowed_in_zone().
 bool allowed_on(const JobSpec& job, const PlanMachine& machine);
 
-/// Returns how many more tasks of the job its zone rules allow in `zone`, given its tasks in
-/// `in_zone`. Returns UINT32_MAX without a limit.
+/// Returns how many more tasks the job's zone constraints allow in `zone`, given the zones of its
+/// other tasks in `in_zone`. Returns UINT32_MAX if there is no limit.
 std::uint32_t tasks_allowed_in_zone(const JobSpec& job, const TasksByZone& in_zone,
                                     const std::string& zone);
 
-/// Returns how many more tasks of the job the maximum of its team's quota allows.
+/// Returns how many more tasks of the job fit within the maximum of its team's quota.
 std::uint32_t tasks_within_quota(const TeamState& team, const JobSpec& job);
 
 }  // namespace asterstair::sched
--- a/src/sched/gang_placement.cpp
+++ b/src/sched/gang_placement.cpp
@@ -13,7 +13,8 @@
 
 using Ranking = std::vector<RankedMachine>;
 
-Ranking only_in_zone(const PlanningRound& round, const Ranking& ranking, const std::string& zone) {
+Ranking filter_by_zone(const PlanningRound& round, const Ranking& ranking,
+                       const std::string& zone) {
   Ranking out;
   std::copy_if(ranking.begin(), ranking.end(), std::back_inserter(out),
                [&](const RankedMachine& candidate) {
@@ -22,7 +23,7 @@
   return out;
 }
 
-// Returns the zones in the order of their best machine.
+// Returns the zones, ordered by their best-ranked machine.
 std::vector<std::string> zones_by_rank(const PlanningRound& round, const Ranking& ranking) {
   std::vector<std::string> zones;
   for (const RankedMachine& candidate : ranking) {
@@ -32,48 +33,51 @@
   return zones;
 }
 
-// Returns the lists of machines on which the gang is tried, one after the other.
+// Returns the rankings to try in turn: the last zone if enough machines there have room, then all
+// machines. For a gang that must stay in one zone, each zone separately instead of all machines.
 std::vector<Ranking> rankings_to_try(const PlanningRound& round, const PlanJob& planned,
                                      const Ranking& ranking) {
   std::vector<Ranking> out;
   if (!planned.last_zone.empty()) {
-    Ranking local = only_in_zone(round, ranking, planned.last_zone);
-    if (local.size() >= kSameZoneMinimum) out.push_back(std::move(local));
+    Ranking local = filter_by_zone(round, ranking, planned.last_zone);
+    if (local.size() >= kMinSameZoneMachines) out.push_back(std::move(local));
   }
   if (!planned.job->one_zone) {
     out.push_back(ranking);
     return out;
   }
   for (const std::string& zone : zones_by_rank(round, ranking)) {
-    out.push_back(only_in_zone(round, ranking, zone));
+    out.push_back(filter_by_zone(round, ranking, zone));
   }
   return out;
 }
 
-bool place_whole(PlanningRound& round, PlanJob& planned, const Ranking& ranking) {
-  std::uint32_t left = planned.waiting;
+// Returns whether the gang was placed.
+bool place_all_or_none(PlanningRound& round, PlanJob& planned, const Ranking& ranking) {
+  std::uint32_t unplaced = planned.waiting;
   TasksByZone in_zone = planned.in_zone;
   std::vector<std::pair<std::size_t, std::uint32_t>> chosen;  // machine, tasks
   for (const RankedMachine& candidate : ranking) {
-    if (left == 0) break;
+    if (unplaced == 0) break;
     const PlanMachine& machine = round.machine(candidate.machine);
     const std::uint32_t tasks =
-        std::min({left, tasks_that_fit(*planned.job, machine.free),
+        std::min({unplaced, tasks_that_fit(*planned.job, machine.free),
                   tasks_allowed_in_zone(*planned.job, in_zone, machine.zone)});
     if (tasks == 0) continue;
     in_zone[machine.zone] += tasks;
-    left -= tasks;
+    unplaced -= tasks;
     chosen.emplace_back(candidate.machine, tasks);
   }
-  if (left > 0) return false;
+  if (unplaced > 0) return false;
   for (const auto& [machine, tasks] : chosen) round.place(planned, machine, tasks);
   return true;
 }
 
-bool place_on_any(PlanningRound& round, PlanJob& planned,
-                  const std::vector<std::size_t>& machines) {
+// Places the gang on the first ranking that has room for all its tasks. Returns whether one has.
+bool place_on_first_fitting(PlanningRound& round, PlanJob& planned,
+                            const std::vector<std::size_t>& machines) {
   for (const Ranking& ranking : rankings_to_try(round, planned, round.rank(planned, machines))) {
-    if (place_whole(round, planned, ranking)) return true;
+    if (place_all_or_none(round, planned, ranking)) return true;
   }
   return false;
 }
@@ -84,12 +88,12 @@
   PlanJob& planned = round.job(job_index);
   if (round.tasks_within_quota(planned) < planned.waiting) return;
   std::vector<std::size_t> machines = round.machines_with_room(job_index);
-  if (machines.size() <= kSampleAbove || planned.job->one_zone) {
-    place_on_any(round, planned, machines);
+  if (machines.size() <= kSampleThreshold || planned.job->one_zone) {
+    place_on_first_fitting(round, planned, machines);
     return;
   }
-  if (place_on_any(round, planned, take_sample(machines, round.rng()))) return;
-  place_on_any(round, planned, round.machines_with_room(job_index));
+  if (place_on_first_fitting(round, planned, take_sample(machines, round.rng()))) return;
+  place_on_first_fitting(round, planned, round.machines_with_room(job_index));
 }
 
 }  // namespace asterstair::sched
--- a/src/sched/gang_placement.hpp
+++ b/src/sched/gang_placement.hpp
@@ -8,9 +8,9 @@
 
 namespace asterstair::sched {
 
-/// Places all waiting tasks of the gang, or none. It tries a random sample of the machines first,
-/// and all machines if the gang does not fit there. Machines in the gang's last zone go first when
-/// at least kSameZoneMinimum of them fit (paper VI-D).
+/// Places all waiting tasks of the gang, or none. Tries a random sample of the machines first, then
+/// all machines. The machines in the gang's last zone are tried first if at least
+/// kMinSameZoneMachines of them have room for a task (paper VI-D).
 void place_gang(PlanningRound& round, std::size_t job_index);
 
 }  // namespace asterstair::sched
--- a/src/sched/machine_groups.hpp
+++ b/src/sched/machine_groups.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Groups of machines for which placement constraints are decided once. Used by the planner.
+/// Groups of machines for which placement constraints are checked once. Used by the planner.
 
 #include <string>
 #include <vector>
@@ -9,7 +9,8 @@
 
 namespace asterstair::sched {
 
-/// Machines of one type, zone and kind. What a job may use is the same for all of them.
+/// Machines of the same type and zone that are all spot or all on-demand. Placement constraints
+/// allow either all of them for a job or none.
 struct MachineGroup {
   const MachineType* type;            ///< Their type; never null.
   const std::string* zone;            ///< Their zone, owned by the first machine of the group.
@@ -17,12 +18,12 @@
   std::vector<std::size_t> machines;  ///< Their indexes in the snapshot, ascending.
 };
 
-/// Returns the machines in groups, in the order of each group's first machine. The groups refer to
-/// `machines`.
+/// Groups the machines. Groups are in the order of their first machine. They point into `machines`,
+/// which must outlive them.
 std::vector<MachineGroup> group_machines(const std::vector<PlanMachine>& machines);
 
-/// Returns whether the job may place at least one more task on machines of the group, their free
-/// resources aside.
+/// Returns whether the constraints of the job allow at least one more task on the group's machines.
+/// Free resources are not considered.
 bool allowed_on(const PlanJob& planned, const MachineGroup& group);
 
 }  // namespace asterstair::sched
--- a/src/sched/order.cpp
+++ b/src/sched/order.cpp
@@ -3,11 +3,11 @@
 namespace asterstair::sched {
 namespace {
 
-// Seconds of slack that one core-second of remaining work counts for. Dimension: 1 / core.
+// Weight of the remaining work in urgency_key(): seconds of slack per core-second of work.
 constexpr double kWorkWeight = 0.01;
 
-// Returns the remaining work on the resource that is scarce for the job, in core-seconds:
-// accelerators if it needs them, processors otherwise.
+// Returns the remaining work on the job's dominant resource, in core-seconds: accelerators if it
+// needs them, processors otherwise.
 double dominant_work(const PlanJob& planned) {
   const JobSpec& spec = *planned.job;
   return planned.work.count() * (spec.gpus > 0 ? spec.gpus * kCpusPerGpu : spec.cpus);
@@ -25,11 +25,11 @@
   const auto it = teams_.find(job.team);
   if (it == teams_.end()) return false;
   const TeamState& team = it->second;
-  Resources& wanted = earlier_[job.team];
-  wanted.add(job, unfinished);
+  Resources& demand = demand_by_team_[job.team];
+  demand.add(job, unfinished);
   if (team.guaranteed_cpus <= 0 && team.guaranteed_gpus <= 0) return false;
-  return wanted.cpus <= team.guaranteed_cpus + kRounding &&
-         wanted.gpus <= team.guaranteed_gpus + kRounding;
+  return demand.cpus <= team.guaranteed_cpus + kRoundingTolerance &&
+         demand.gpus <= team.guaranteed_gpus + kRoundingTolerance;
 }
 
 bool precedes(const PlanJob& left, const PlanJob& right) {
--- a/src/sched/planner.cpp
+++ b/src/sched/planner.cpp
@@ -12,9 +12,9 @@
 namespace asterstair::sched {
 namespace {
 
-// Number of jobs that may get a reservation in one round. More would leave too few machines to the
-// jobs that do fit.
-constexpr std::size_t kMostReservations = 8;
+// Number of unplaced jobs that may reserve machines in one round. More reservations would leave too
+// few machines for the jobs that fit.
+constexpr std::size_t kMaxReservations = 8;
 
 std::vector<std::size_t> jobs_in_order(const std::vector<PlanJob>& jobs) {
   std::vector<std::size_t> order(jobs.size());
@@ -45,7 +45,7 @@
     place_job(round, job_index);
     if (planned.waiting == 0) continue;
     plan.unplaced.emplace_back(job_index, planned.waiting);
-    if (plan.unplaced.size() <= kMostReservations) reserve_machines(round, job_index);
+    if (plan.unplaced.size() <= kMaxReservations) reserve_machines(round, job_index);
   }
   return plan;
 }
--- a/src/sched/planning_round.cpp
+++ b/src/sched/planning_round.cpp
@@ -5,11 +5,12 @@
 namespace asterstair::sched {
 namespace {
 
-// Returns whether the machine is reserved for another job, or avoided after failures on it.
-bool held_back(const PlanJob& planned, std::size_t job_index, const PlanMachine& machine) {
+// Returns whether the machine is reserved for another job or avoided because the job failed on it.
+// Overdue jobs may use such machines.
+bool is_excluded(const PlanJob& planned, std::size_t job_index, const PlanMachine& machine) {
   if (planned.overdue) return false;
   if (machine.reserved_for && *machine.reserved_for != job_index) return true;
-  return planned.avoid != nullptr && planned.avoid->count(machine.ref) != 0;
+  return planned.avoided_machines != nullptr && planned.avoided_machines->count(machine.ref) != 0;
 }
 
 }  // namespace
@@ -30,7 +31,7 @@
     for (const std::size_t index : group.machines) {
       const PlanMachine& machine = snapshot_.machines[index];
       if (!fits(*planned.job, machine.free)) continue;
-      if (!held_back(planned, job_index, machine)) found.push_back(index);
+      if (!is_excluded(planned, job_index, machine)) found.push_back(index);
     }
   }
   return found;
--- a/src/sched/preemption.cpp
+++ b/src/sched/preemption.cpp
@@ -14,17 +14,18 @@
 namespace asterstair::sched {
 namespace {
 
-// Number of candidates that cost as much to examine as one machine, which is a step of planning.
+// Number of candidates that cost as much to examine as one machine, which counts as one step.
 constexpr std::size_t kCandidatesPerStep = 4;
 
-// Returns whether the team stays within its guarantee with one more task of the job. A guarantee is
-// used up by what the team has running already.
+// Returns whether the team stays within its guarantee with one more task of the job. All tasks that
+// the team is running count against the guarantee.
 bool within_guarantee(const TeamState& team, const JobSpec& job) {
-  return team.used.cpus + job.cpus <= team.guaranteed_cpus + kRounding &&
-         team.used.gpus + job.gpus <= team.guaranteed_gpus + kRounding;
+  return team.used.cpus + job.cpus <= team.guaranteed_cpus + kRoundingTolerance &&
+         team.used.gpus + job.gpus <= team.guaranteed_gpus + kRoundingTolerance;
 }
 
-// Returns whether the team still uses all that it is guaranteed of a resource without the task.
+// Returns whether the team still uses its full guarantee of processors or of accelerators after one
+// task of the job is stopped.
 bool above_guarantee(const TeamState& team, const JobSpec& job) {
   const bool above_cpus = job.cpus > 0 && team.used.cpus - job.cpus >= team.guaranteed_cpus;
   const bool above_gpus = job.gpus > 0 && team.used.gpus - job.gpus >= team.guaranteed_gpus;
@@ -48,26 +49,26 @@
   }
 
   std::vector<std::size_t> run() {
-    for (const auto& [job_index, left] : plan_.unplaced) make_room_for(job_index, left);
+    for (const auto& [job_index, tasks] : plan_.unplaced) make_room_for(job_index, tasks);
     plan_.steps += candidates_examined_ / kCandidatesPerStep;
     return std::move(to_stop_);
   }
 
  private:
-  void make_room_for(std::size_t job_index, std::uint32_t left) {
+  void make_room_for(std::size_t job_index, std::uint32_t unplaced) {
     const PlanJob& planned = snapshot_.jobs[job_index];
     const bool gang = planned.job->gang();
-    const auto most = tasks_within_quota(snapshot_.teams[planned.job->team], *planned.job);
-    if (most == 0 || (gang && most < left)) return;
+    const auto within_quota = tasks_within_quota(snapshot_.teams[planned.job->team], *planned.job);
+    if (within_quota == 0 || (gang && within_quota < unplaced)) return;
     const std::vector<MachineOffers> machines = machine_offers(job_index);
     const PreemptionChoice choice =
-        choose_offers(snapshot_, planned, machines, candidates_, std::min(left, most));
-    if (gang && choice.offers.size() < left) return;
+        choose_offers(snapshot_, planned, machines, candidates_, std::min(unplaced, within_quota));
+    if (gang && choice.offers.size() < unplaced) return;
     for (const PreemptionOffer& offer : choice.offers) accept(planned, offer);
   }
 
   // A job may preempt tasks of lower priority. A job within its team's guarantee may also preempt
-  // what another team runs above its own.
+  // tasks that another team runs above its own guarantee.
   bool may_preempt(const PlanJob& planned, const PreemptionCandidate& candidate) {
     if (candidate.job->priority < planned.job->priority) return true;
     if (!planned.guaranteed || candidate.job->team == planned.job->team) return false;
@@ -81,7 +82,8 @@
     if (machine.reserved_for && *machine.reserved_for != job_index) return false;
     return allowed_on(spec, machine) && machine.type->fits(spec) > 0 &&
            tasks_allowed_in_zone(spec, planned.in_zone, machine.zone) > 0 &&
-           (planned.avoid == nullptr || planned.avoid->count(machine.ref) == 0);
+           (planned.avoided_machines == nullptr ||
+            planned.avoided_machines->count(machine.ref) == 0);
   }
 
   std::vector<std::size_t> usable_machines(std::size_t job_index) {
@@ -91,12 +93,15 @@
     }
     plan_.steps += snapshot_.machines.size();
     const JobSpec& spec = *snapshot_.jobs[job_index].job;
-    return usable.size() > kSampleAbove && !spec.one_zone ? sample_of(spec, usable) : usable;
+    return usable.size() > kSampleThreshold && !spec.one_zone ? sample_machines(spec, usable)
+                                                              : usable;
   }
 
-  // Returns a random sample, and with it every machine on which enough is being freed already:
-  // without these each round would stop other tasks, elsewhere, for the same waiting tasks.
-  std::vector<std::size_t> sample_of(const JobSpec& job, const std::vector<std::size_t>& usable) {
+  // Returns a random sample and, in addition, every machine where the resources being freed make
+  // room for a task. Without these machines, each round would stop tasks on other machines for the
+  // same waiting tasks.
+  std::vector<std::size_t> sample_machines(const JobSpec& job,
+                                           const std::vector<std::size_t>& usable) {
     std::vector<std::size_t> chosen;
     std::vector<std::size_t> rest;
     for (const std::size_t index : usable) {
@@ -117,15 +122,16 @@
       auto candidates = preemptible_on(planned, index);
       if (candidates.empty() && !fits(spec, machine.free)) continue;
       candidates_examined_ += candidates.size();
-      // An image that must be fetched first delays the start: this counts like work lost.
+      // Fetching the image delays the start. The delay costs as much as the same amount of lost
+      // work.
       const double delay = start_delay(spec.image_gb, machine.has_image(spec.image)).count();
-      out.emplace_back(index, machine.free, std::move(candidates), delay * weight_of_second(spec));
+      out.emplace_back(index, machine.free, std::move(candidates), delay * weight_per_second(spec));
     }
     return out;
   }
 
-  // Returns the candidates on the machine that the job may preempt: the lowest priority first, then
-  // the least work lost.
+  // Returns the candidates on the machine that the job may preempt, ordered by priority (lowest
+  // first), then by lost work (least first).
   std::vector<std::size_t> preemptible_on(const PlanJob& planned, std::size_t machine_index) {
     std::vector<std::size_t> out;
     for (const std::size_t index : candidates_on_[machine_index]) {
@@ -144,7 +150,7 @@
     PlanMachine& machine = snapshot_.machines[offer.machine];
     for (const std::size_t index : offer.to_stop) {
       const PreemptionCandidate& candidate = candidates_[index];
-      // This is decided anew: the tasks stopped before changed the use of the quotas.
+      // Checked again, because the tasks already stopped have changed the use of the quotas.
       if (!may_preempt(planned, candidate)) continue;
       stopped_[index] = true;
       machine.free.add(*candidate.job);
@@ -159,8 +165,8 @@
   Plan& plan_;
   const std::vector<PreemptionCandidate>& candidates_;
   Rng& rng_;
-  std::vector<std::vector<std::size_t>> candidates_on_;  // by machine
-  std::vector<bool> stopped_;                            // by candidate
+  std::vector<std::vector<std::size_t>> candidates_on_;  // by machine index
+  std::vector<bool> stopped_;                            // by candidate index
   std::vector<std::size_t> to_stop_;                     // refs of candidates
   std::size_t candidates_examined_ = 0;
 };
--- a/src/sched/preemption.hpp
+++ b/src/sched/preemption.hpp
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Preemption: which tasks to stop for waiting jobs that found no room, as PROTOCOL's "Preemption"
-/// allows. A pure function, like plan(); the leader calls it after plan() when jobs are left.
+/// Preemption: selects tasks to stop for waiting jobs that did not fit (PROTOCOL, "Preemption").
+/// Does no I/O and reads no clock, like plan(). The leader calls it after plan() if jobs are
+/// unplaced.
 
 #include <vector>
 
@@ -10,10 +11,9 @@
 
 namespace asterstair::sched {
 
-/// Returns the refs of the preemption candidates to stop, in the order in which it was decided.
-/// For a gang nothing is stopped unless all its tasks find room. Resources that are being freed
-/// already count as free. Changes the snapshot's free resources and quotas, and adds to the plan's
-/// steps.
+/// Returns the refs of the preemption candidates to stop, in the order of the decisions. Stops
+/// nothing for a gang unless that makes room for all its waiting tasks. Resources that are already
+/// being freed count as free. Updates the snapshot's free resources and quota use, and Plan::steps.
 std::vector<std::size_t> preempt(Snapshot& snapshot, Plan& plan,
                                  const std::vector<PreemptionCandidate>& candidates, Rng& rng);
 
--- a/src/sched/preemption_offers.cpp
+++ b/src/sched/preemption_offers.cpp
@@ -15,12 +15,12 @@
 using OfferQueue =
     std::priority_queue<PreemptionOffer, std::vector<PreemptionOffer>, std::greater<>>;
 
-// Chooses on machines of the zone, or on any if `zone` is null. Takes its own copy of the machines,
-// since each offer uses up some of their resources.
+// Chooses among the machines in the zone, or among all if `zone` is null. Takes a copy of the
+// machines, because each offer uses up some of their resources.
 PreemptionChoice choose_in_zone(const Snapshot& snapshot, const PlanJob& planned,
                                 std::vector<MachineOffers> machines,
                                 const std::vector<PreemptionCandidate>& candidates,
-                                const std::string* zone, std::uint32_t wanted) {
+                                const std::string* zone, std::uint32_t tasks) {
   const JobSpec& spec = *planned.job;
   OfferQueue queue;
   std::map<std::size_t, MachineOffers*> by_machine;
@@ -31,14 +31,14 @@
   }
   PreemptionChoice choice;
   TasksByZone in_zone = planned.in_zone;
-  while (wanted > 0 && !queue.empty()) {
+  while (tasks > 0 && !queue.empty()) {
     PreemptionOffer offer = queue.top();
     queue.pop();
     const std::string& offer_zone = snapshot.machines[offer.machine].zone;
     if (tasks_allowed_in_zone(spec, in_zone, offer_zone) == 0) continue;
     ++in_zone[offer_zone];
-    --wanted;
-    if (auto more = by_machine[offer.machine]->next(spec, candidates)) queue.push(std::move(*more));
+    --tasks;
+    if (auto next = by_machine[offer.machine]->next(spec, candidates)) queue.push(std::move(*next));
     choice.cost += offer.cost;
     choice.offers.push_back(std::move(offer));
   }
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-double weight_of_second(const JobSpec& job) { return 1 + job.cpus + kCpusPerGpu * job.gpus; }
+double weight_per_second(const JobSpec& job) { return 1 + job.cpus + kCpusPerGpu * job.gpus; }
 
 bool PreemptionOffer::operator>(const PreemptionOffer& other) const {
   return std::pair(cost, machine) > std::pair(other.cost, other.machine);
@@ -64,7 +64,7 @@
     if (next_candidate_ == candidates_.size()) return std::nullopt;
     const PreemptionCandidate& candidate = all[candidates_[next_candidate_]];
     free_.add(*candidate.job);
-    offer.cost += candidate.lost_work * weight_of_second(*candidate.job);
+    offer.cost += candidate.lost_work * weight_per_second(*candidate.job);
     offer.to_stop.push_back(candidates_[next_candidate_]);
     ++next_candidate_;
   }
@@ -80,9 +80,9 @@
 PreemptionChoice choose_offers(const Snapshot& snapshot, const PlanJob& planned,
                                const std::vector<MachineOffers>& machines,
                                const std::vector<PreemptionCandidate>& candidates,
-                               std::uint32_t wanted) {
+                               std::uint32_t tasks) {
   if (!planned.job->one_zone || !planned.in_zone.empty()) {
-    return choose_in_zone(snapshot, planned, machines, candidates, nullptr, wanted);
+    return choose_in_zone(snapshot, planned, machines, candidates, nullptr, tasks);
   }
   std::set<std::string> zones;
   for (const MachineOffers& offers : machines) {
@@ -90,7 +90,7 @@
   }
   PreemptionChoice best;
   for (const std::string& zone : zones) {
-    auto choice = choose_in_zone(snapshot, planned, machines, candidates, &zone, wanted);
+    auto choice = choose_in_zone(snapshot, planned, machines, candidates, &zone, tasks);
     if (choice.better_than(best)) best = std::move(choice);
   }
   return best;
--- a/src/sched/ranking.cpp
+++ b/src/sched/ranking.cpp
@@ -7,23 +7,24 @@
 namespace asterstair::sched {
 namespace {
 
-// What a wrong use of a machine counts for among equal scores, in free processors. Both exceed the
-// processors of any machine, and the first exceeds the second.
-constexpr double kWasteOfAccelerators = 1e4;
-constexpr double kWasteOfOrdinary = 1e3;
-
-// Among equal scores: no accelerators beside tasks that need none, spot machines for jobs that may
-// use them, then the fullest machine, so that large tasks find room (best fit).
-double waste(const JobSpec& spec, const PlanMachine& machine) {
-  double total = machine.free.cpus;
-  if (spec.gpus <= 0 && machine.type->gpus > 0) total += kWasteOfAccelerators;
-  if (spec.spot && !machine.spot) total += kWasteOfOrdinary;
-  return total;
+// Penalties for poor matches between job and machine, in free processors. Both exceed the number of
+// processors of any machine, so that they outweigh best fit, and the first exceeds the second.
+constexpr double kUnneededAcceleratorPenalty = 1e4;
+constexpr double kOnDemandPenalty = 1e3;
+
+// Breaks ties between equal scores. Prefers machines without accelerators for tasks that need none,
+// then spot machines for jobs that may use them, then the fullest machine (best fit), which leaves
+// room for large tasks on the others.
+double tie_break_penalty(const JobSpec& spec, const PlanMachine& machine) {
+  double penalty = machine.free.cpus;
+  if (spec.gpus <= 0 && machine.type->gpus > 0) penalty += kUnneededAcceleratorPenalty;
+  if (spec.spot && !machine.spot) penalty += kOnDemandPenalty;
+  return penalty;
 }
 
 bool ranks_before(const RankedMachine& left, const RankedMachine& right) {
   if (left.score != right.score) return left.score < right.score;
-  if (left.waste != right.waste) return left.waste < right.waste;
+  if (left.penalty != right.penalty) return left.penalty < right.penalty;
   return left.machine < right.machine;
 }
 
@@ -47,7 +48,7 @@
     const double mean_elsewhere = others > 0 ? (total_delay - delays[i]) / others : 0.0;
     const double score = placement_score(Seconds(delays[i]), machine.loss_rate, planned.remaining,
                                          Seconds(mean_elsewhere));
-    ranked.push_back({machines[i], score, waste(spec, machine)});
+    ranked.push_back({machines[i], score, tie_break_penalty(spec, machine)});
   }
   std::sort(ranked.begin(), ranked.end(),
             [](const RankedMachine& left, const RankedMachine& right) {
--- a/src/sched/reservation.cpp
+++ b/src/sched/reservation.cpp
@@ -11,15 +11,16 @@
 namespace asterstair::sched {
 namespace {
 
-// A job that has waited less than this gets no reservation: most jobs find room at once.
+// Minimum wait before a job gets a reservation: most jobs are placed at once and need none.
 constexpr Seconds kReserveAfter{1};
 
-// Processors that are free, or are about to be.
+// Returns the processors that are free or being freed.
 double nearly_free_cpus(const PlanMachine& machine) {
   return machine.free.cpus + machine.freeing.cpus;
 }
 
-// Returns the machines that could be reserved for the job, those with the most room first.
+// Returns the machines that could be reserved for the job, ordered by nearly free processors (most
+// first).
 std::vector<std::size_t> reservable_machines(PlanningRound& round, const PlanJob& planned) {
   std::vector<std::size_t> found;
   for (const MachineGroup& group : round.groups()) {
@@ -36,8 +37,9 @@
   return found;
 }
 
-// Returns the first machines that suffice for so many tasks when they are empty, in the zone, or in
-// any if `zone` is null. Returns none if all of them do not suffice.
+// Returns the first machines that would have room for `tasks` tasks if they were empty. Considers
+// the machines in the zone, or in any zone if `zone` is null. Returns nothing if all of them
+// together do not have enough room.
 std::optional<std::vector<std::size_t>> choose_sufficient(const PlanningRound& round,
                                                           const PlanJob& planned,
                                                           const std::vector<std::size_t>& machines,
@@ -49,12 +51,12 @@
     if (tasks == 0) break;
     const PlanMachine& machine = round.machine(index);
     if (zone != nullptr && machine.zone != *zone) continue;
-    const std::uint32_t here =
+    const std::uint32_t tasks_here =
         std::min({tasks, machine.type->fits(*planned.job),
                   tasks_allowed_in_zone(*planned.job, in_zone, machine.zone)});
-    if (here == 0) continue;
-    in_zone[machine.zone] += here;
-    tasks -= here;
+    if (tasks_here == 0) continue;
+    in_zone[machine.zone] += tasks_here;
+    tasks -= tasks_here;
     chosen.push_back(index);
   }
   if (tasks > 0) return std::nullopt;
@@ -68,8 +70,8 @@
   return total;
 }
 
-// Returns the machines in the zone where most of what the gang needs is free, or is about to be.
-// Returns no machines if no zone suffices.
+// Returns machines with enough room for the gang in one zone: the zone where the chosen machines
+// have the most nearly free processors. Returns no machines if no zone has enough room.
 std::vector<std::size_t> choose_in_best_zone(const PlanningRound& round, const PlanJob& planned,
                                              const std::vector<std::size_t>& machines,
                                              std::uint32_t tasks) {
@@ -103,7 +105,7 @@
 void reserve_machines(PlanningRound& round, std::size_t job_index) {
   const PlanJob& planned = round.job(job_index);
   const std::uint32_t within_quota = round.tasks_within_quota(planned);
-  // An array is helped enough by room for its first task.
+  // An array can start with one task, so room for one task is enough.
   const std::uint32_t tasks = planned.job->gang() ? planned.waiting : 1;
   if (planned.waited < kReserveAfter || within_quota < tasks) return;
   const std::vector<std::size_t> machines = reservable_machines(round, planned);
--- a/src/sched/reservation.hpp
+++ b/src/sched/reservation.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Reservations: machines that are kept for a job that found no room. Used by the planner.
+/// Reservations: machines that are reserved for a job that did not fit. Used by the planner.
 
 #include <cstddef>
 
@@ -8,9 +8,9 @@
 
 namespace asterstair::sched {
 
-/// Reserves machines for a job that found no room, so that smaller jobs behind it do not take every
-/// place as it comes free (starvation). Does nothing for a job that has only just arrived or that
-/// its team's quota does not allow.
+/// Reserves machines for a job that did not fit. Without a reservation, smaller jobs later in the
+/// order would take resources as they are freed, and the job would starve. Does nothing if the job
+/// has just arrived or exceeds its team's quota.
 void reserve_machines(PlanningRound& round, std::size_t job_index);
 
 }  // namespace asterstair::sched
--- a/src/sched/resources.cpp
+++ b/src/sched/resources.cpp
@@ -5,8 +5,8 @@
 namespace asterstair::sched {
 
 bool fits(const JobSpec& job, const Resources& free) {
-  return free.cpus + kRounding >= job.cpus && free.gpus + kRounding >= job.gpus &&
-         free.memory_gb + kRounding >= job.memory_gb;
+  return free.cpus + kRoundingTolerance >= job.cpus && free.gpus + kRoundingTolerance >= job.gpus &&
+         free.memory_gb + kRoundingTolerance >= job.memory_gb;
 }
 
 std::uint32_t tasks_that_fit(const JobSpec& job, const Resources& free) {
--- a/src/sched/sampling.hpp
+++ b/src/sched/sampling.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Random samples of machines that replace a full search where many machines would do. Called by
-/// the planner and by preemption.
+/// Random samples of machines, searched instead of all machines in large clusters. Called by the
+/// planner and by preemption.
 
 #include <cstddef>
 #include <vector>
@@ -10,14 +10,14 @@
 
 namespace asterstair::sched {
 
-/// Number of machines up to which all are searched; above it, a random sample is.
-inline constexpr std::size_t kSampleAbove = 96;
+/// Number of machines up to which all are searched. Above it, a random sample is searched.
+inline constexpr std::size_t kSampleThreshold = 96;
 
 /// Number of machines in a sample.
 inline constexpr std::size_t kSampleSize = 64;
 
-/// Takes kSampleSize random elements out of `from`, or all if there are no more than kSampleAbove.
-/// Both the sample and the rest keep their order.
+/// Removes kSampleSize random elements from `from` and returns them; removes all if there are at
+/// most kSampleThreshold. The sample and the remaining elements keep their order.
 std::vector<std::size_t> take_sample(std::vector<std::size_t>& from, Rng& rng);
 
 }  // namespace asterstair::sched
--- a/src/sched/score.cpp
+++ b/src/sched/score.cpp
@@ -6,17 +6,17 @@
 namespace asterstair::sched {
 namespace {
 
-// Losses per second below which a rate counts as this, so that no interval is infinite.
-constexpr double kLeastLossRate = 1e-12;
+// Lower bound of the loss rate in losses per second; avoids a division by zero.
+constexpr double kMinLossRatePerSecond = 1e-12;
 
 }  // namespace
 
 Seconds checkpoint_interval(Seconds checkpoint_time, double loss_rate, Seconds loss_budget) {
   const double cost = std::max(checkpoint_time.count(), 0.0);
-  const double best = std::sqrt(2.0 * cost / std::max(loss_rate, kLeastLossRate));
-  const double least = cost / kCheckpointShare;
-  const double most = std::max(2.0 * loss_budget.count(), least);
-  return Seconds(std::clamp(best, least, most));
+  const double optimum = std::sqrt(2.0 * cost / std::max(loss_rate, kMinLossRatePerSecond));
+  const double min_interval = cost / kMaxCheckpointShare;
+  const double max_interval = std::max(2.0 * loss_budget.count(), min_interval);
+  return Seconds(std::clamp(optimum, min_interval, max_interval));
 }
 
 double loss_probability(double loss_rate, Seconds remaining) {
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Fleets as large as the service is to direct, and load many times the usual.
+// Clusters of the maximum supported size, and load far above the usual.
 
 #include <gtest/gtest.h>
 
@@ -8,13 +8,13 @@
 
 using namespace sim;
 
-// Four thousand machines: a start, a change of leader, a partition of a zone and a mass of
-// cancellations.
+// Four thousand machines: scale out, a leader crash, a partition of one zone and the cancellation
+// of most jobs.
 TEST(LargeFleet, KeepsTheRulesThroughFailoverPartitionAndMassCancellation) {
   Scenario scenario(4001, 4008 / Scenario::kPools);
   std::vector<std::string> long_jobs, short_jobs;
   scenario.run_until(2);
-  // More than the fleet holds, so that all of it is rented: at most four tasks fit on a machine.
+  // More tasks than the cluster can run, so that all machines are rented: at most four fit on one.
   for (int i = 0; i < 40; ++i) long_jobs.push_back(scenario.users.submit(spot_array_job(400, 600)));
   scenario.run_until(60);
   EXPECT_GE(scenario.cloud.running_workers().size(), 4000U);
@@ -47,14 +47,14 @@
   }
 }
 
-// Hundreds of machines and five nodes, and the leader crashes again and again.
+// Hundreds of machines and five nodes; the leader crashes repeatedly.
 TEST(LargeFleet, KeepsTheRulesAndServesEveryClass) {
   Scenario scenario(27, 20, 5);
   auto& simulator = scenario.simulator;
   for (double t = 1; t < 90; t += simulator.uniform(0.5, 1.5) * 0.6) {
     simulator.schedule(Seconds(t), [&scenario, &simulator] {
       auto job = random_job(simulator);
-      // The other team's limit leaves room for few tasks.
+      // The quota of team red allows few tasks.
       if (simulator.chance(0.9)) job.requirements.team = "blue";
       if (!job.workload.gang && job.requirements.team == "blue") job.workload.tasks *= 5;
       scenario.users.submit(job);
@@ -67,15 +67,16 @@
   }
   simulator.schedule(100s, [&scenario] { scenario.checker.on_faults_over(); });
   scenario.run_until(420);
-  // Jobs of the team without a limit could always begin: there is room for all of them.
+  // Team blue has no limit and the cluster has room for all its jobs, so they can always start.
   scenario.checker.check_service(
       [&scenario](const std::string& id) { return scenario.checker.team_of(id) == "blue"; });
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
   EXPECT_GT(scenario.checker.starts, 2000U);
 }
 
-// From no machine to hundreds: one request a second would take longer than the boots.
-TEST(LargeFleet, IsRentedAtOnce) {
+// Scale out from no machines to hundreds. Guards against renting too slowly: with one request a
+// second, the requests would take longer than the machines take to boot.
+TEST(LargeFleet, RentsHundredsOfMachinesWithinTheBootTime) {
   Scenario scenario(35, 60);
   auto job = array_job(1000, 60);
   job.requirements.spot = true;
@@ -85,9 +86,9 @@
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
-// On a fleet that is always full, smaller jobs that can still be in time go first. The largest jobs
-// must begin within four minutes all the same.
-TEST(LargestJobs, BeginWithinFourMinutesOnAFullFleet) {
+// Guards against starvation of large jobs. While the cluster is full, smaller jobs that can still
+// meet their objectives precede them. The largest jobs must nevertheless start within four minutes.
+TEST(LargestJobs, StartWithinFourMinutesInAFullCluster) {
   Scenario scenario(36, 1);
   scenario.run_until(5);
   for (int i = 0; i < 3; ++i) scenario.users.submit(array_job(60, 20));
@@ -107,10 +108,10 @@
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
-// Users query their jobs many times as often. Each query is answered within the 2 s for which users
-// wait, and the state service gets far fewer queries than the nodes.
-// Guard: Store::read_live_together.
-TEST(Queries, AreAnsweredAtManyTimesTheUsualRate) {
+// Users query their jobs far more often than usual. At least 95 % of the queries must be answered
+// within the 2 s for which users wait, and the state service must receive far fewer requests than
+// the nodes. store::ReadQueue ensures this: it answers many reads of live jobs from one list.
+TEST(Queries, AreAnsweredFarAboveTheUsualRate) {
   Scenario scenario(64);
   std::vector<std::string> ids;
   for (int i = 0; i < 300; ++i) {
@@ -118,22 +119,22 @@
                                 [&] { ids.push_back(scenario.users.submit(array_job(1, 400))); });
   }
   scenario.run_until(60);
-  std::size_t asked = 0, answered = 0, at_state = 0;
+  std::size_t queries = 0, answered = 0, state_reads = 0;
   scenario.network.drop_request = [&](const std::string&, const std::string&,
                                       const HttpRequest& request) {
-    at_state += request.target.rfind("/keys", 0) == 0 ? 1 : 0;
+    state_reads += request.target.rfind("/keys", 0) == 0 ? 1 : 0;
     return false;
   };
   for (double t = 0; t < 20; t += 0.001) {
     scenario.simulator.schedule(Seconds(t), [&] {
       const auto& id = ids[static_cast<std::size_t>(scenario.simulator.uniform(0, 299.9))];
-      ++asked;
+      ++queries;
       scenario.users.query(id, [&](int status) { answered += status == 200 ? 1 : 0; });
     });
   }
   scenario.run_until(85);
-  EXPECT_GT(answered, asked * 95 / 100) << "of " << asked;
-  EXPECT_LT(at_state, asked / 4);
+  EXPECT_GT(answered, queries * 95 / 100) << "of " << queries;
+  EXPECT_LT(state_reads, queries / 4);
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -1,4 +1,4 @@
-// The planner: which tasks are placed where, and in which order.
+// The planner: where tasks are placed, and in which order.
 
 #include "sched/planner.hpp"
 
@@ -14,70 +14,71 @@
 
 class Planner : public test_support::SchedulerFixture {};
 
-TEST_F(Planner, PrefersMachinesWithTheImage) {
+TEST_F(Planner, PrefersMachinesWithTheCachedImage) {
   const std::set<std::string> cached{"i"};
   machine(cpu, "a");
   machine(cpu, "b", false, &cached);
   job(4, 2);
-  const auto p = plan(s, rng);
-  ASSERT_EQ(p.placements.size(), 1U);
-  EXPECT_EQ(p.placements[0].machine, 1U);
-  EXPECT_EQ(p.placements[0].tasks, 4U);
+  const auto result = plan(snapshot, rng);
+  ASSERT_EQ(result.placements.size(), 1U);
+  EXPECT_EQ(result.placements[0].machine, 1U);
+  EXPECT_EQ(result.placements[0].tasks, 4U);
 }
 
-TEST_F(Planner, PlacesAGangWholeOrNotAtAll) {
+TEST_F(Planner, PlacesAllTasksOfAGangOrNone) {
   machine(cpu, "a");
   machine(cpu, "b");
   job(5, 8, JobKind::Gang);
-  EXPECT_TRUE(plan(s, rng).placements.empty());
-  s.jobs[0].waiting = 4;
-  EXPECT_EQ(placed(plan(s, rng), 0), 4U);
+  EXPECT_TRUE(plan(snapshot, rng).placements.empty());
+  snapshot.jobs[0].waiting = 4;
+  EXPECT_EQ(placed(plan(snapshot, rng), 0), 4U);
 }
 
-TEST_F(Planner, KeepsZoneConstraints) {
+TEST_F(Planner, RespectsZoneConstraints) {
   machine(cpu, "a");
   machine(cpu, "b");
   job(4, 8, JobKind::Gang).one_zone = true;
-  EXPECT_TRUE(plan(s, rng).placements.empty());
+  EXPECT_TRUE(plan(snapshot, rng).placements.empty());
   specs[0]->one_zone = false;
   specs[0]->spread = true;
-  const auto p = plan(s, rng);
-  ASSERT_EQ(p.placements.size(), 2U);
-  EXPECT_EQ(p.placements[0].tasks, 2U);
+  const auto result = plan(snapshot, rng);
+  ASSERT_EQ(result.placements.size(), 2U);
+  EXPECT_EQ(result.placements[0].tasks, 2U);
 }
 
-TEST_F(Planner, KeepsTheTeamLimit) {
+TEST_F(Planner, RespectsTheTeamMaximum) {
   machine(cpu, "a");
-  s.teams["t"].max_cpus = 10;
-  s.teams["t"].used.cpus = 3;
+  snapshot.teams["t"].max_cpus = 10;
+  snapshot.teams["t"].used.cpus = 3;
   job(8, 2);
-  EXPECT_EQ(placed(plan(s, rng), 0), 3U);
+  EXPECT_EQ(placed(plan(snapshot, rng), 0), 3U);
 }
 
-// Room is reserved for a waiting gang. A job that has had no task running for long may use it all
-// the same: no job waits for 90 s beside a machine with room.
-TEST_F(Planner, GivesReservedRoomToOverdueJobs) {
+// A machine is reserved for a waiting gang. An overdue job may use it nevertheless: no job may wait
+// for 90 s while a suitable machine has room.
+TEST_F(Planner, PlacesOverdueJobsOnReservedMachines) {
   machine(cpu, "a");
-  s.machines[0].free = {10, 0, 60};
+  snapshot.machines[0].free = {10, 0, 60};
   job(1, 16, JobKind::Gang);
-  s.jobs[0].waited = Seconds(60);
-  s.jobs[0].slack = 1;
+  snapshot.jobs[0].waited = Seconds(60);
+  snapshot.jobs[0].slack = 1;
   job(2, 2);
-  EXPECT_EQ(placed(plan(s, rng), 1), 0U);
-  s.machines[0].reserved_for.reset();
-  s.jobs[1].overdue = true;
-  EXPECT_EQ(placed(plan(s, rng), 1), 2U);
+  EXPECT_EQ(placed(plan(snapshot, rng), 1), 0U);
+  snapshot.machines[0].reserved_for.reset();
+  snapshot.jobs[1].overdue = true;
+  EXPECT_EQ(placed(plan(snapshot, rng), 1), 2U);
 }
 
-// The same for processors that are reserved beside accelerators which will be wanted.
-TEST_F(Planner, GivesCpusBesideGpusToOverdueArrays) {
+// Processors are reserved on machines with accelerators for jobs that need both. An overdue array
+// may use them nevertheless.
+TEST_F(Planner, PlacesOverdueArraysOnCpusReservedForGpuJobs) {
   machine(gpu, "a");
-  s.keep_gpus = 100;
-  s.cpus_per_gpu = 8;
+  snapshot.reserved_gpus = 100;
+  snapshot.cpus_per_gpu = 8;
   job(2, 2);
-  EXPECT_EQ(placed(plan(s, rng), 0), 0U);
-  s.jobs[0].overdue = true;
-  EXPECT_EQ(placed(plan(s, rng), 0), 2U);
+  EXPECT_EQ(placed(plan(snapshot, rng), 0), 0U);
+  snapshot.jobs[0].overdue = true;
+  EXPECT_EQ(placed(plan(snapshot, rng), 0), 2U);
 }
 
 TEST_F(Planner, OrdersByGuaranteeThenPriorityThenSlack) {
@@ -85,25 +86,25 @@
   auto& late = job(8, 2);
   auto& high = job(8, 2);
   auto& guaranteed = job(8, 2);
-  s.jobs[0].slack = 1;
+  snapshot.jobs[0].slack = 1;
   high.priority = Priority::High;
   guaranteed.team = "u";
   guaranteed.priority = late.priority = Priority::Low;
-  s.teams["u"].guaranteed_cpus = 16;
-  const auto mark = [&] {
-    GuaranteedQuota quota(s.teams);
-    for (auto& j : s.jobs) j.guaranteed = quota.covers_next(*j.job, j.waiting);
+  snapshot.teams["u"].guaranteed_cpus = 16;
+  const auto update_guarantees = [&] {
+    GuaranteedQuota quota(snapshot.teams);
+    for (auto& next : snapshot.jobs) next.guaranteed = quota.covers_next(*next.job, next.waiting);
   };
-  mark();
-  EXPECT_EQ(placed(plan(s, rng), 2), 8U);
-  s.machines[0].free = {16, 0, 64};
-  s.teams["u"].guaranteed_cpus = 15;  // no longer fits
-  for (auto& j : s.jobs) j.waiting = 8;
-  mark();
-  EXPECT_EQ(placed(plan(s, rng), 1), 8U);
+  update_guarantees();
+  EXPECT_EQ(placed(plan(snapshot, rng), 2), 8U);
+  snapshot.machines[0].free = {16, 0, 64};
+  snapshot.teams["u"].guaranteed_cpus = 15;  // less than the 16 processors that the job needs
+  for (auto& planned : snapshot.jobs) planned.waiting = 8;
+  update_guarantees();
+  EXPECT_EQ(placed(plan(snapshot, rng), 1), 8U);
 }
 
-TEST(Guarantees, GoToTheEarlierJobs) {
+TEST(GuaranteedQuota, CoversEarlierJobsFirst) {
   JobSpec job;
   job.team = "t";
   job.cpus = 30;
--- a/tests/scoring_test.cpp
+++ b/tests/scoring_test.cpp
@@ -1,4 +1,4 @@
-// The scheduler's formulas against values worked by hand.
+// The scheduler's formulas, checked against values calculated by hand.
 
 #include <gtest/gtest.h>
 
@@ -13,14 +13,15 @@
 TEST(CheckpointInterval, IsASquareRootWithinBounds) {
   // sqrt(2 * 4 / 0.0002) = sqrt(40000) = 200
   EXPECT_NEAR(checkpoint_interval(Seconds(4), 0.0002, 30min).count(), 200.0, 1e-9);
-  // Below: checkpoint time over 0.2.
+  // Lower bound: the checkpoint time divided by 0.2.
   EXPECT_NEAR(checkpoint_interval(Seconds(4), 1.0, 30min).count(), 20.0, 1e-9);
-  // Above: twice the loss budget. sqrt(8 / (1/86400)) = 831 s is below an hour, so a slower loss.
+  // Upper bound: twice the loss budget. Needs a very low loss rate: at the minimum rate of one loss
+  // a day the interval is sqrt(8 * 86400) = 831 s, which is within the bounds.
   EXPECT_NEAR(checkpoint_interval(Seconds(4), 1e-9, 30min).count(), 3600.0, 1e-9);
   EXPECT_NEAR(checkpoint_interval(Seconds(4), kLossFloorPerSecond, 30min).count(), 831.384, 1e-2);
 }
 
-TEST(PlacementScore, AddsSurvivalWeightedCostToTheStartDelay) {
+TEST(PlacementScore, AddsTheExpectedRestartDelayToTheStartDelay) {
   EXPECT_DOUBLE_EQ(start_delay(2.5, false).count(), 25.0);
   EXPECT_DOUBLE_EQ(start_delay(2.5, true).count(), 0.0);
   // 1 - exp(-0.001 * 1000) = 0.632121
@@ -30,12 +31,12 @@
               1e-5);
 }
 
-TEST(FinalSave, NeedsSaveAndRestartTimeWithinTheNotice) {
+TEST(FinalCheckpoint, FitsIfCheckpointAndRestartEndWithinTheNotice) {
   EXPECT_TRUE(final_checkpoint_fits(Seconds(5), Seconds(1), Seconds(6)));
   EXPECT_FALSE(final_checkpoint_fits(Seconds(5), Seconds(1), Seconds(5.9)));
 }
 
-TEST(LossRates, CountLossesInTheWindowAboveAFloor) {
+TEST(LossRates, CountLossesWithinTheWindowAndHaveAMinimum) {
   LossRates rates;
   const TimePoint start{};
   const LossGroup group{"a", true};
