--- a/src/autoscale/autoscaler.cpp
+++ b/src/autoscale/autoscaler.cpp
@@ -27,7 +27,7 @@
       scale_in_(runtime, cloud, settings, catalog, *term_, *operations_, inventory_) {}
 
 void Autoscaler::start() {
-  operations_->start(operation_events(), [term = term_] { term->open_returns_known(); });
+  operations_->start(operation_events(), [term = term_] { term->on_open_returns_known(); });
   tick();
 }
 
--- a/src/autoscale/autoscaler.hpp
+++ b/src/autoscale/autoscaler.hpp
@@ -30,7 +30,7 @@
              const cloud::Catalog& catalog, std::shared_ptr<leader::Term> term);
 
   /// Recovers the operations of earlier leaders, and begins the loop. Tells the term of the returns
-  /// among them, see leader::Term::open_returns_known().
+  /// among them, see leader::Term::on_open_returns_known().
   void start();
   /// Ends the loop and the list in progress.
   void stop();
--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -188,7 +188,7 @@
   FreeRoom out;
   for (const auto& [id, machine] : term_.machines().all()) {
     const auto* type = catalog_.find(machine.type);
-    if (type == nullptr || !term_.usable(machine)) continue;
+    if (type == nullptr || !term_.schedulable(machine)) continue;
     if (type->gpus > 0) {
       out.gpus += type->gpus - machine.usage.used.gpus;
     } else {
--- a/src/autoscale/scale_in.cpp
+++ b/src/autoscale/scale_in.cpp
@@ -38,7 +38,7 @@
     inventory_.on_returned(machine, now);
     policy_.on_returned(machine);
     operations_.resolve_machine(machine);
-    term_.machine_gone(machine);
+    term_.on_machine_terminated(machine);
   }
 }
 
--- a/src/leader/attempt_tracker.cpp
+++ b/src/leader/attempt_tracker.cpp
@@ -38,12 +38,12 @@
   return "";
 }
 
-/// The run time in seconds that checkpoints have kept of an attempt that has ended.
+/// Run time of an ended attempt that its checkpoints have saved, in seconds.
 double saved_seconds(const TaskAttempt& attempt, const JobSpec& job, TimePoint now) {
-  const double ran = seconds(now - *attempt.running_since);
-  if (attempt.saved) return ran;
+  const double run_time = seconds(now - *attempt.running_since);
+  if (attempt.saved) return run_time;
   const double interval = job.checkpoint.count();
-  return static_cast<double>(static_cast<std::int64_t>(ran / interval)) * interval;
+  return static_cast<double>(static_cast<std::int64_t>(run_time / interval)) * interval;
 }
 
 }  // namespace
@@ -109,14 +109,14 @@
 void AttemptTracker::on_exited(Machine& machine, const TaskAttempt& attempt) {
   Job* job = cluster_.jobs.find(attempt.task.job);
   if (job != nullptr && attempt.cause == ExitCause::Done) {
-    on_done(machine, attempt, *job);  // acknowledged once that is durable
+    on_done(machine, attempt, *job);  // acknowledged once the completion is durable
     return;
   }
   machine.attempts.at({attempt.attempt, attempt.task}).acknowledge = true;
   if (job != nullptr) on_failed(machine, attempt, *job);
 }
 
-// A gang completes together: when one task is done, every task is.
+// A gang completes as a whole: when one of its tasks is done, all of them are.
 void AttemptTracker::on_done(Machine& machine, const TaskAttempt& attempt, Job& job) {
   health_.on_task_done(machine);
   const auto tasks_per_chunk = store::tasks_per_progress_chunk(context_.settings.value_bytes);
@@ -130,7 +130,7 @@
 }
 
 void AttemptTracker::on_failed(Machine& machine, const TaskAttempt& attempt, Job& job) {
-  log::debug("{}/{} ended on {}: {}{}", attempt.task.job, attempt.task.index, machine.id,
+  log::debug("task {}/{} ended on {}: {}{}", attempt.task.job, attempt.task.index, machine.id,
              cause_name(attempt.cause), attempt.saved ? ", saved" : "");
   switch (attempt.cause) {
     case ExitCause::Error:
@@ -151,10 +151,11 @@
 
 void AttemptTracker::on_lost(const Machine& machine, const TaskAttempt& attempt) {
   if (!unassign(machine, attempt)) return;
-  log::debug("{}/{} lost on {}", attempt.task.job, attempt.task.index, machine.id);
+  log::debug("task {}/{} lost on {}", attempt.task.job, attempt.task.index, machine.id);
 }
 
-// Keeps what is known of the task's progress, and lets it wait for its next attempt.
+// Keeps the task's checkpointed progress, and returns the task to the waiting tasks. Returns false
+// if the task was not assigned to this attempt.
 bool AttemptTracker::unassign(const Machine& machine, const TaskAttempt& attempt) {
   Job* job = cluster_.jobs.find(attempt.task.job);
   if (job == nullptr) return false;
@@ -174,7 +175,7 @@
   return true;
 }
 
-// Logs once how long a job has waited: for its first task, or for all tasks of a gang.
+// Logs once per job how long it waited for its first task to run, or for all tasks of a gang.
 void AttemptTracker::log_first_run(Job& job) {
   if (job.spec->gang() && !all_running(job)) return;
   job.ran = true;
--- a/src/leader/attempt_tracker.hpp
+++ b/src/leader/attempt_tracker.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Applies what is learnt of task attempts to the job table.
+/// Applies events of task attempts to the job table.
 
 #include <vector>
 
@@ -13,7 +13,7 @@
 
 namespace asterstair::leader {
 
-/// Turns task events into transitions of jobs: assignments, progress, retries. Owned by Term.
+/// Updates jobs by task events: assignments, progress, retries. Owned by Term.
 class AttemptTracker {
  public:
   /// All references outlive the tracker.
@@ -30,9 +30,9 @@
   /// Applies the events of one machine in their order.
   void apply(cluster::Machine& machine, const std::vector<cluster::TaskEvent>& events);
   /// Removes pending attempts that will not be started: their job has ended, they are to be
-  /// stopped, or the machine may not be given work any more.
+  /// stopped, or the machine is no longer schedulable.
   void discard_stale_assignments(cluster::Machine& machine);
-  /// The same for all machines that may not be given work.
+  /// Calls discard_stale_assignments() for all machines that are not schedulable.
   void release_unschedulable_machines();
 
  private:
@@ -44,7 +44,7 @@
   void on_done(cluster::Machine& machine, const cluster::TaskAttempt& attempt, cluster::Job& job);
   void on_failed(cluster::Machine& machine, const cluster::TaskAttempt& attempt, cluster::Job& job);
   void on_lost(const cluster::Machine& machine, const cluster::TaskAttempt& attempt);
-  // False if the task was not assigned to this attempt.
+  // Returns false if the task was not assigned to this attempt.
   bool unassign(const cluster::Machine& machine, const cluster::TaskAttempt& attempt);
   void log_first_run(cluster::Job& job);
   bool all_running(const cluster::Job& job);
--- a/src/leader/consolidator.hpp
+++ b/src/leader/consolidator.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Emptying costly machines whose tasks fit on others.
+/// Consolidation: drains costly machines whose tasks fit on others.
 
 #include <functional>
 
@@ -13,9 +13,9 @@
 
 namespace asterstair::leader {
 
-/// Evicts the tasks of costly machines when no work waits, so that the autoscaler can return the
-/// machines. Tasks are evicted only if they can save, and have much more left than a move costs.
-/// Owned by Term.
+/// Drains costly machines and evicts their tasks while no work waits, so that the autoscaler can
+/// return the machines. A task is evicted only if it can save a checkpoint and its remaining run
+/// time is much longer than a move takes. Owned by Term.
 class Consolidator {
  public:
   /// All references outlive the consolidator.
@@ -28,9 +28,10 @@
         recovery_(recovery),
         gangs_(gangs) {}
 
-  /// Drains machines, those with the costliest idle resources first, and stops the tasks on them.
-  /// \param may_spare whether the autoscaler can do without the machine
-  void consolidate(const std::function<bool(const cluster::Machine&)>& may_spare);
+  /// Drains machines, those with the costliest idle resources first, and stops the tasks on them
+  /// that can save a checkpoint.
+  /// \param may_remove whether the autoscaler does not need the machine
+  void consolidate(const std::function<bool(const cluster::Machine&)>& may_remove);
 
  private:
   bool worth_moving(const cluster::Machine& machine) const;
--- a/src/leader/election.hpp
+++ b/src/leader/election.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Leader election: the lease of the leader's key.
+/// Leader election by a lease on the leader key.
 
 #include <cstdint>
 #include <functional>
@@ -13,38 +13,39 @@
 
 namespace asterstair::leader {
 
-/// Leader election: the lease of the leader key, whose fencing token workers are told.
+/// Leader election by a lease on the leader key. Its fencing token is sent to the workers.
 ///
-/// Owned by Node, which campaigns for as long as the process runs. The expiry of the leader's lease
-/// is decided by lease::Renewer::lease_valid(), which lease_valid() returns; what follows from it
-/// is described there. leader::Term, the provisioning controller and the parts of the node read the
-/// state of the lease here. Only Node's parts and an operator's command change it.
+/// Owned by Node, which campaigns for as long as the process runs. lease_valid() returns
+/// lease::Renewer::lease_valid(), which decides when the leader's lease expires and documents the
+/// consequences. leader::Term, the provisioning controller and the modules of the node read the
+/// state of the lease here. Only the modules of the node and an operator's command change it.
 class Election {
  public:
   /// Callbacks to the owner.
   struct Events {
-    /// This node leads now, under this token.
+    /// This node has become the leader, with this fencing token.
     std::function<void(std::uint64_t token)> elected;
-    /// This node leads no longer: its term has to end at once.
+    /// This node is no longer the leader. Its term has to end at once.
     std::function<void()> lost;
   };
 
   /// The references have to outlive the election. Nothing is sent before start().
   Election(Runtime& runtime, store::Store& store, const Settings& settings, Events events);
 
-  /// Begins to campaign. Called once.
+  /// Starts to campaign. Called once.
   void start() { lease_.campaign(); }
 
-  /// Gives leadership up for good: nothing is done under this token any more. A peer that hears of
-  /// it may claim the key at once, see claim_after_step_down(). Called by LeadershipMonitor, and
-  /// when an operator asks for it.
+  /// Gives up leadership. This node does not act under the current token again. A peer that learns
+  /// of it may claim the key at once, see claim_after_step_down(). Called by LeadershipMonitor, and
+  /// on an operator's request.
   void step_down() { lease_.step_down(); }
-  /// A peer has stepped down from this token, so the key may be claimed at that version.
+  /// Claims the leader key at this version, because a peer has stepped down from that token.
   void claim_after_step_down(std::uint64_t token) { lease_.claim_after_step_down(token); }
-  /// A majority of the nodes suspects the leader: claims its key without waiting for its store
-  /// lease to expire. Its lease may be valid until previous_leaders_expiry().
+  /// Claims the leader key without waiting for its store lease to expire. Called when a majority of
+  /// the nodes suspects the leader, whose lease may still be valid until previous_leaders_expiry().
   void force_failover() { lease_.force_claim(); }
-  /// A peer says that it leads under this token: a leader with a lower one loses its term.
+  /// Handles a peer's message that it leads under this token: if this node leads under a lower one,
+  /// its term ends.
   void on_higher_token(std::uint64_t token) { lease_.on_higher_token(token); }
 
   /// Whether this node leads. A leader may act only while lease_valid().
@@ -55,9 +56,9 @@
   std::uint64_t token() const { return lease_.token(); }
   /// The latest token that this node has stepped down from; 0: none.
   std::uint64_t stepped_down_token() const { return lease_.stepped_down_token(); }
-  /// Until when, at the latest, the lease of a leader before this node's term may be valid.
+  /// Latest time at which the lease of a leader before this node's term may still be valid.
   TimePoint previous_leaders_expiry() const { return lease_.previous_holders_expiry(); }
-  /// The condition that every write of the leader carries.
+  /// The fencing condition, which every write of the leader carries.
   wire::Condition guard() const { return lease_.guard(); }
   /// Name of the last known leader, which may be this node; empty if unknown.
   const std::string& leader() const { return lease_.holder(); }
--- a/src/leader/fenced_writer.cpp
+++ b/src/leader/fenced_writer.cpp
@@ -18,7 +18,7 @@
     } else if (result.outcome == store::WriteOutcome::NotDone) {
       done(false);
     } else {
-      // An earlier unanswered write was, or may yet be, carried out.
+      // This write or an earlier one got no response and was carried out, or may still be.
       read_versions(keys, [done] { done(false); });
     }
   };
--- a/src/leader/fenced_writer.hpp
+++ b/src/leader/fenced_writer.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Writes of the keys that only the leader changes.
+/// Fenced writes of the keys that only the leader changes.
 
 #include <cstdint>
 #include <functional>
@@ -12,24 +12,24 @@
 
 namespace asterstair::leader {
 
-/// Writes keys under compare-and-swap on the leader key (fencing) and on their own versions. A
-/// write that was never answered may be carried out late; being conditional on the versions, it
-/// cannot undo a newer one. Owned by Term.
+/// Writes keys by compare-and-swap on the version of the leader key (fencing) and on their own
+/// versions. A write that got no response may be carried out late. The condition on the versions
+/// prevents it from overwriting a newer write. Owned by Term.
 class FencedWriter {
  public:
-  /// Told whether the write was committed.
+  /// Callback that receives whether the write was committed.
   using Done = std::function<void(bool committed)>;
 
   /// The context outlives the writer.
   explicit FencedWriter(const TermContext& context) : context_(context) {}
 
-  /// Sends the transaction with the conditions added. `done` runs only while the term lasts. After
-  /// an unknown outcome it runs once the versions that stand have been read, so that the caller may
-  /// try again.
+  /// Adds the conditions to the transaction and sends it. `done` runs only while the term lasts.
+  /// After a conflict or an unknown outcome it runs once the current versions have been read, so
+  /// that the caller can retry.
   void write(wire::Txn txn, store::Urgency urgency, Done done);
-  /// The key was read, and had this version.
+  /// Records the version that the key had when it was read.
   void set_version(const std::string& key, std::uint64_t version) { versions_[key] = version; }
-  /// The key is gone for good.
+  /// Drops the version of a key that is deleted and will not be written again.
   void forget(const std::string& key) { versions_.erase(key); }
 
  private:
--- a/src/leader/gang_controller.cpp
+++ b/src/leader/gang_controller.cpp
@@ -9,11 +9,11 @@
 using cluster::Machine;
 using cluster::TaskAttempt;
 
-// A task is expected to end before its machine is taken if its estimate fits into this part of the
-// notice: estimates are rough.
-constexpr double kUsableNotice = 0.7;
-constexpr Seconds kNoNotice{3600};  // taken for the notice of a machine that has none
-constexpr Seconds kRestartTime{1};  // of a task that finds its image cached
+// A task is expected to end before its machine is reclaimed if its estimated remaining time fits
+// into this share of the notice. The rest allows for inaccurate estimates.
+constexpr double kUsableNoticeShare = 0.7;
+constexpr Seconds kAssumedNotice{3600};  // for a faulty machine without a preemption notice
+constexpr Seconds kRestartTime{1};       // of a task whose image is cached
 
 }  // namespace
 
@@ -26,7 +26,7 @@
   direct_commands_.send(commands);
 }
 
-// A draining machine's tasks may end by themselves.
+// Tasks of a machine that is only being drained are not stopped here: they may end by themselves.
 void GangController::on_preemption_notice(Machine& machine) {
   if (!machine.reclaim_at && !machine.health.faulty) return;
   std::vector<DirectCommand> commands;
@@ -45,23 +45,25 @@
   direct_commands_.send(commands);
 }
 
-// How long a task may take to save if it is to be stopped; none if it may go on.
+// The grace period with which the task is to be stopped; none if it may continue.
 std::optional<Seconds> GangController::grace_before_reclaim(const Machine& machine,
                                                             const TaskAttempt& attempt) const {
   const auto now = context_.now();
-  const Seconds left = machine.reclaim_at ? Seconds(*machine.reclaim_at - now) : kNoNotice;
+  const Seconds notice = machine.reclaim_at ? Seconds(*machine.reclaim_at - now) : kAssumedNotice;
   const JobSpec& job = *attempt.job;
-  if (job.checkpoint.count() > 0 && sched::final_checkpoint_fits(job.save, kRestartTime, left)) {
-    return grace_to_save(job);
+  if (job.checkpoint.count() > 0 && sched::final_checkpoint_fits(job.save, kRestartTime, notice)) {
+    return checkpoint_grace(job);
   }
-  // A task that can neither save nor end in time is lost in any case. It restarts elsewhere sooner
-  // if it is stopped now than after the machine's lease has expired.
-  const Seconds ran = attempt.running_since ? Seconds(now - *attempt.running_since) : Seconds(0);
-  if (!machine.reclaim_at || job.estimate - ran <= left * kUsableNotice) return std::nullopt;
+  // A task that can neither save nor end in time loses its work in any case. If it is stopped now,
+  // it restarts elsewhere sooner than after the expiry of the machine's lease.
+  const Seconds run_time =
+      attempt.running_since ? Seconds(now - *attempt.running_since) : Seconds(0);
+  if (!machine.reclaim_at || job.estimate - run_time <= notice * kUsableNoticeShare)
+    return std::nullopt;
   return Seconds(0);
 }
 
-Seconds GangController::grace_to_save(const JobSpec& job) const {
+Seconds GangController::checkpoint_grace(const JobSpec& job) const {
   if (job.checkpoint.count() <= 0) return Seconds(0);
   return job.save + Seconds(context_.settings.gang_peer);
 }
--- a/src/leader/gang_controller.hpp
+++ b/src/leader/gang_controller.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Gangs: checkpoint intervals, preemption notices, and stops of whole gangs.
+/// Gang handling: stops of whole gangs, preemption notices, and checkpoint intervals.
 
 #include <optional>
 #include <vector>
@@ -11,8 +11,8 @@
 
 namespace asterstair::leader {
 
-/// Keeps gangs whole: one that loses a task is stopped and restarts as a whole (DESIGN). Owned by
-/// Term.
+/// Stops gangs as a whole: one that loses a task is stopped and restarts with all its tasks
+/// (DESIGN). Owned by Term.
 class GangController {
  public:
   /// All references outlive the controller.
@@ -20,18 +20,20 @@
                  DirectCommandDispatcher& direct_commands)
       : context_(context), cluster_(cluster), direct_commands_(direct_commands) {}
 
-  /// Stops what is left of gangs that have lost a task. The others must be told within
-  /// `gang_peer_s` of the first.
+  /// Stops the remaining tasks of gangs that have lost a task. They must learn of the loss within
+  /// `gang_peer_s`.
   void stop_broken_gangs();
-  /// Stops the tasks of a machine that the cloud is about to take, or that is faulty, where that
-  /// saves their progress or lets them restart sooner. Gangs are stopped as a whole.
+  /// Stops tasks of a machine that the cloud is about to reclaim, or that is faulty, if that saves
+  /// their progress or lets them restart sooner. Gangs are stopped as a whole. Does nothing for
+  /// other machines.
   void on_preemption_notice(cluster::Machine& machine);
-  /// The interval that the leader derives for the task from its machines' loss rates; gang members'
-  /// rates add up (DESIGN; paper V-B). None if the job has no checkpoints.
+  /// The checkpoint interval for a task of the job on the machine, derived from the machine's loss
+  /// rate. For a gang, the loss rates of all its tasks' machines are added (DESIGN; paper V-B).
+  /// None if the job has no checkpoints.
   std::optional<Seconds> checkpoint_interval(const cluster::Job& job,
                                              const cluster::Machine& machine) const;
-  /// The grace with which a task is stopped so that it can save, if it has checkpoints.
-  Seconds grace_to_save(const JobSpec& job) const;
+  /// The grace period in which a stopped task can save a checkpoint; 0 if the job has none.
+  Seconds checkpoint_grace(const JobSpec& job) const;
 
  private:
   std::optional<Seconds> grace_before_reclaim(const cluster::Machine& machine,
--- a/src/leader/job_progress_log.cpp
+++ b/src/leader/job_progress_log.cpp
@@ -10,7 +10,8 @@
 
 using cluster::Job;
 
-// Between two writes of a job's progress: what is lost with the leader is run again.
+// Minimum time between two writes of a job's progress. Progress that a failed leader has not
+// written is lost, and the tasks run again.
 constexpr auto kFlushInterval = 3s;
 
 }  // namespace
@@ -96,7 +97,7 @@
     Job* completed = jobs_.find(id);
     if (completed == nullptr) return;
     completed->completion_write_in_flight = false;
-    // After a failure the next flush tries again, or the watch tells of a cancellation.
+    // After a failure, the next flush retries unless the watch reports that the job is cancelled.
     if (result.outcome == store::WriteOutcome::Committed) on_completed_(id);
   };
   context_.store.write(std::move(txn), store::Urgency::Final,
--- a/src/leader/job_progress_log.hpp
+++ b/src/leader/job_progress_log.hpp
@@ -16,16 +16,16 @@
 /// writes are conditional on the live record, so none succeeds after a cancellation. Owned by Term.
 class JobProgressLog {
  public:
-  /// \param on_completed told the id of a job whose final record is durable
+  /// \param on_completed receives the id of each job whose final record is durable
   JobProgressLog(const TermContext& context, cluster::JobTable& jobs, FencedWriter& writer,
                  std::function<void(const std::string&)> on_completed)
       : context_(context), jobs_(jobs), writer_(writer), on_completed_(std::move(on_completed)) {}
 
-  /// Writes the first progress record of each job that has none. No task starts before it is
-  /// durable: it tells later leaders that tasks may be running.
+  /// Writes the first progress record of each job that has none. No task of the job starts before
+  /// the record is durable, because it tells later leaders that tasks may be running.
   void record_starts();
-  /// Completes jobs whose tasks are all done, and writes changed progress of the others now and
-  /// then.
+  /// Completes jobs whose tasks are all done, and periodically writes the changed progress of the
+  /// others.
   void flush();
   /// Writes the final record of a job whose tasks are all done.
   void complete(cluster::Job& job);
--- a/src/leader/job_timing.cpp
+++ b/src/leader/job_timing.cpp
@@ -5,11 +5,12 @@
 namespace asterstair::leader {
 namespace {
 
-// Slack of a job without any objective, in seconds, less its age: such jobs are ordered by age.
+// Slack in seconds of a new job without deadline or objective. The job's age is subtracted from it,
+// so that such jobs are ordered by age.
 constexpr double kNoObjectiveSlack = 3600;
 
-/// Collects the slack towards several objectives: the least that is not negative counts, else the
-/// one that was missed by the least.
+/// Combines the slacks to several objectives: the result is the smallest that is not negative, else
+/// the negative one that is closest to zero.
 class SlackCollector {
  public:
   explicit SlackCollector(double age) : attainable_(kNoObjectiveSlack - age) {}
--- a/src/leader/job_timing.hpp
+++ b/src/leader/job_timing.hpp
@@ -1,13 +1,14 @@
 #pragma once
 /// @file
-/// How long jobs have waited, will take, and may still wait.
+/// Age, remaining run time and slack of jobs.
 
 #include "cluster/job.hpp"
 #include "leader/term_context.hpp"
 
 namespace asterstair::leader {
 
-/// Times of jobs, as planning and log lines need them. Pure functions of a job and the clock.
+/// Computes times of jobs for planning and log lines, from the job, the settings and the clock. Has
+/// no state of its own.
 class JobTiming {
  public:
   /// The context outlives this object.
@@ -15,10 +16,10 @@
 
   /// Time since the job was accepted, never negative.
   Seconds age(const cluster::Job& job) const;
-  /// Estimated run time that a task has left, at least one second.
+  /// Estimated remaining run time of a task of the job, at least one second.
   Seconds remaining(const cluster::Job& job) const;
-  /// Seconds until the job must start to meet its next service-level objective or deadline that can
-  /// still be met; negative if none can.
+  /// Seconds until the job must start to meet the first of its deadline and service-level
+  /// objectives that can still be met; negative if none of them can.
   double slack(const cluster::Job& job, Seconds remaining) const;
 
  private:
--- a/src/leader/live_jobs.cpp
+++ b/src/leader/live_jobs.cpp
@@ -10,9 +10,10 @@
 using cluster::Machine;
 using cluster::TaskAttempt;
 
-// Confirmed cancellations that the watch may still report as live: while anything is started, it is
-// seconds late at most.
-constexpr std::size_t kMaxCancelled = 20000;
+// Number of jobs with a confirmed cancellation that are remembered, because the watch may still
+// report them as live. While tasks are started, the watch is only seconds behind, so the newest are
+// enough.
+constexpr std::size_t kMaxCancelledIds = 20000;
 
 }  // namespace
 
@@ -26,7 +27,7 @@
     log::debug("job {} of {}: {} tasks, age {:.1f} s", job.spec->id, job.spec->job_class,
                job.spec->tasks, timing_.age(job).count());
     trigger_.request();
-    // The arrival of jobs that are found when a term begins is not known: they count as new.
+    // Jobs that are found when a term begins count as new: the time of their arrival is not known.
     const double slack = timing_.slack(job, timing_.remaining(job));
     arrivals_.push_back({context_.now(), job.spec, slack});
   } catch (const wire::DecodeError& error) {
@@ -48,8 +49,9 @@
   trigger_.request();
 }
 
-// Tasks that are left serve nobody. They are told directly as well: an image may arrive before the
-// next heartbeat, and a machine that is unreachable or hangs carries the command out later.
+// Stops the remaining tasks of a job that has ended, whose results are not needed. Also sends
+// direct commands: a task may start running before the next heartbeat if its image arrives, and a
+// machine that is unreachable or hangs can carry out a direct command later.
 void LiveJobs::stop_tasks(const Job& job) {
   std::vector<DirectCommand> commands;
   for (const auto& [index, assignment] : job.assignments) {
@@ -69,7 +71,7 @@
 void LiveJobs::cancel(const std::string& id) {
   if (!cancelled_.insert(id).second) return;
   cancelled_in_order_.push_back(id);
-  if (cancelled_in_order_.size() > kMaxCancelled) {
+  if (cancelled_in_order_.size() > kMaxCancelledIds) {
     cancelled_.erase(cancelled_in_order_.front());
     cancelled_in_order_.pop_front();
   }
--- a/src/leader/live_jobs.hpp
+++ b/src/leader/live_jobs.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which jobs are live in this term: accepted, and neither done nor cancelled.
+/// The live jobs of a term: those that are accepted and neither done nor cancelled.
 
 #include <deque>
 #include <set>
@@ -15,19 +15,19 @@
 
 namespace asterstair::leader {
 
-/// For how long arrivals of jobs are kept.
+/// How long arrivals of jobs are kept.
 inline constexpr Duration kArrivalWindow = 90s;
 
 /// The arrival of a job.
 struct Arrival {
-  /// When the leader learnt of the job.
+  /// When this leader first saw the job's live record.
   TimePoint at{};
   /// The job's description.
   JobSpecPtr job;
   double slack = 0;  ///< on arrival, see JobTiming::slack
 };
 
-/// Adds jobs to the job table and takes them out when they end, which stops what is left of them.
+/// Adds jobs to the job table, and removes them and stops their remaining tasks when they end.
 /// Owned by Term.
 class LiveJobs {
  public:
@@ -44,14 +44,15 @@
 
   /// Adds the job of a live record, unless its cancellation has been confirmed.
   void add(const wire::Item& record);
-  /// The job's live record is gone: it is done or cancelled.
+  /// Removes the job, whose live record has been deleted because it is done or cancelled.
   void end(const std::string& id);
-  /// A node has confirmed the cancellation. The watch may tell of it later, or not at all.
+  /// Removes the job, whose cancellation a node has confirmed. The watch may report it later, or
+  /// not at all.
   void cancel(const std::string& id);
 
   /// Jobs that were added within kArrivalWindow, oldest first.
   const std::deque<Arrival>& arrivals() const { return arrivals_; }
-  /// Drops older arrivals.
+  /// Drops arrivals that are older than kArrivalWindow.
   void expire_arrivals();
 
  private:
@@ -63,7 +64,7 @@
   DirectCommandDispatcher& direct_commands_;
   FencedWriter& writer_;
   SchedulingTrigger& trigger_;
-  std::set<std::string> cancelled_;  // the newest kMaxCancelled
+  std::set<std::string> cancelled_;  // the newest kMaxCancelledIds
   std::deque<std::string> cancelled_in_order_;
   std::deque<Arrival> arrivals_;
 };
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -16,13 +16,14 @@
 using cluster::Machine;
 using cluster::TaskAttempt;
 
-// Runs follow one another no faster than this, and take no more than this share of the processor
-// time that the settings grant. A step's cost was measured with tests/load/profile.sh.
+// Runs are at least kMinRunInterval apart, and use at most kMaxProcessorShare of the processor time
+// that the settings allow. kStepCost is the processor time of a step of the plan, as measured with
+// tests/load/profile.sh.
 constexpr Duration kMinRunInterval = 60ms;
 constexpr Duration kStepCost = 40ns;
 constexpr double kMaxProcessorShare = 0.25;
 constexpr auto kPreemptionInterval = 300ms;
-// Of an attempt number, for the counter; the rest is the fencing token.
+// Low bits of an attempt number, which hold the counter. The high bits hold the fencing token.
 constexpr unsigned kAttemptCounterBits = 24;
 
 }  // namespace
@@ -50,7 +51,7 @@
   if (!context_.catalog.known()) return;
   trigger_.clear();
   const auto now = context_.now();
-  // A cluster with enough room has nothing to place on most runs: the machines are not looked at.
+  // While the cluster has enough room, most runs have nothing to place. They skip the machines.
   if (!snapshots_.any_placeable()) {
     snapshots_.update_idle_times();
     demand_.clear();
@@ -75,7 +76,8 @@
   next_run_ = now + std::max(kMinRunInterval, spacing);
 }
 
-// A job avoids the machines on which it failed while others may do.
+// A job avoids the machines on which its tasks failed. Once there are kMaxMachinesAtFault of them,
+// the job itself is the likely cause and avoids none.
 SchedulingLoop::AvoidedMachines SchedulingLoop::avoided_machines(const SchedulingInput& input) {
   AvoidedMachines avoided(input.jobs.size());
   for (std::size_t job = 0; job < input.jobs.size(); ++job) {
@@ -88,9 +90,9 @@
   return avoided;
 }
 
-// Numbers that are made of the token and a counter are never used twice, by any leader.
+// Combines the fencing token and a counter, so that no leader uses a number twice.
 std::uint64_t SchedulingLoop::next_attempt() {
-  return (context_.token << kAttemptCounterBits) | ++attempts_;
+  return (context_.token << kAttemptCounterBits) | ++attempt_counter_;
 }
 
 // Tasks of a gang share one attempt number.
@@ -136,18 +138,19 @@
   }
 }
 
-// What a task would lose if it were stopped now.
+// Run time that the task would lose if it were stopped now: the time to save a checkpoint, or
+// without checkpoints its whole run time.
 Seconds SchedulingLoop::work_lost_by_stop(const TaskAttempt& attempt) const {
   if (!attempt.running_since) return Seconds(0);
   if (attempt.job->checkpoint.count() > 0) return attempt.job->save;
   return Seconds(context_.now() - *attempt.running_since);
 }
 
-// An attempt whose start is under way is a candidate too. It is told to stop in the response to the
-// heartbeat that shows it: on a machine with many short tasks there is always one such.
+// An attempt whose start command is in flight is a candidate too, because a machine with many short
+// tasks always has one. It is stopped in the response to the first heartbeat that reports it.
 std::vector<sched::PreemptionCandidate> SchedulingLoop::preemption_candidates(
     const SchedulingInput& input, const sched::Plan& plan, std::vector<CandidateRef>& refs) const {
-  // Work that may not preempt anything by its priority needs a guarantee.
+  // Tasks of the highest unplaced priority or above can be preempted only by guaranteed work.
   auto highest = Priority::Low;
   bool any_guaranteed = false;
   for (const auto& [job, tasks] : plan.unplaced) {
@@ -176,10 +179,11 @@
   std::vector<DirectCommand> commands;
   for (const auto ref : sched::preempt(input.snapshot, plan, candidates, context_.runtime.rng())) {
     const auto& [machine, attempt] = refs[ref];
-    log::debug("{}/{} on {} is preempted", attempt->task.job, attempt->task.index, machine->id);
-    const Seconds grace = gangs_.grace_to_save(*attempt->job);
+    log::debug("task {}/{} on {} is preempted", attempt->task.job, attempt->task.index,
+               machine->id);
+    const Seconds grace = gangs_.checkpoint_grace(*attempt->job);
     machine->request_stop(*attempt, grace);
-    // Told at once, since other work waits for the resources.
+    // Sends the stop command directly, because other work waits for the resources.
     if (attempt->phase == TaskAttempt::Phase::Observed) {
       commands.push_back(
           {machine->id, {Command::Op::Stop, attempt->task, attempt->attempt, grace}});
--- a/src/leader/scheduling_loop.hpp
+++ b/src/leader/scheduling_loop.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// When to schedule, and what becomes of a plan: assignments, demand for machines, preemption.
+/// Runs the scheduler and applies its plans: assignments, demand for machines, preemption.
 
 #include <cstdint>
 #include <map>
@@ -20,19 +20,20 @@
 
 namespace asterstair::leader {
 
-/// Waiting work for which the present machines have no room.
+/// Waiting tasks of a job that fit on none of the present machines.
 struct Demand {
   /// The job's description.
   JobSpecPtr job;
-  std::uint32_t tasks = 0;  ///< within the team's limit
-  Seconds remaining{0};     ///< estimated run time of a task
+  std::uint32_t tasks = 0;  ///< number of waiting tasks that the team's limit allows
+  Seconds remaining{0};     ///< estimated remaining run time of a task
   double slack = 0;         ///< see JobTiming::slack
-  /// Within its team's guarantee, where the operator states how soon such work is to start.
+  /// Whether the team's guaranteed quota covers the job and the operator has set an objective for
+  /// how soon guaranteed work starts.
   bool urgent = false;
 };
 
-/// Runs the scheduler when it is requested, spaced by what a run costs, and binds its placements.
-/// Owned by Term.
+/// Runs the scheduler periodically and on request, and assigns tasks to machines by its plan. The
+/// interval between runs grows with their estimated cost. Owned by Term.
 class SchedulingLoop {
  public:
   /// All references outlive the loop.
@@ -47,18 +48,20 @@
         direct_commands_(direct_commands),
         trigger_(trigger) {}
 
-  /// Schedules, if the last run is long enough ago. Called by the term's periodic loop.
+  /// Runs the scheduler if the interval since the last run has elapsed. Called by the term's
+  /// periodic loop.
   void run_if_due();
-  /// If scheduling is requested: schedules now, or as soon as the last run is long enough ago.
+  /// If a run is requested, runs the scheduler now, or as soon as the interval since the last run
+  /// has elapsed.
   void run_if_requested();
 
-  /// What found no room in the last run.
+  /// The demand that the last run could not place.
   const std::vector<Demand>& demand() const { return demand_; }
 
  private:
-  // Machines that each job avoids, as indexes of SchedulingInput::machines.
+  // For each job, the machines that it avoids, as indexes into SchedulingInput::machines.
   using AvoidedMachines = std::vector<std::set<std::size_t>>;
-  // A preemption candidate's machine and attempt.
+  // The machine and the attempt of a preemption candidate.
   using CandidateRef = std::pair<cluster::Machine*, cluster::TaskAttempt*>;
 
   void run();
@@ -80,7 +83,7 @@
   DirectCommandDispatcher& direct_commands_;
   SchedulingTrigger& trigger_;
   std::vector<Demand> demand_;
-  std::uint64_t attempts_ = 0;  // numbered so far in this term
+  std::uint64_t attempt_counter_ = 0;  // attempts that have been numbered in this term
   bool timer_set_ = false;
   TimePoint next_run_{};
   TimePoint next_preemption_{};
--- a/src/leader/scheduling_trigger.hpp
+++ b/src/leader/scheduling_trigger.hpp
@@ -1,17 +1,18 @@
 #pragma once
 /// @file
-/// The request that scheduling runs again, raised by whatever changes its result.
+/// Request for a scheduling run, set by modules that change the scheduler's input.
 
 namespace asterstair::leader {
 
-/// Set by modules that free resources or add work, cleared by SchedulingLoop.
+/// A pending request for a scheduling run. Set by modules that free resources or add work, cleared
+/// by SchedulingLoop.
 class SchedulingTrigger {
  public:
-  /// Asks for a run.
+  /// Requests a run.
   void request() { requested_ = true; }
-  /// Withdraws the request: a run begins.
+  /// Clears the request, because a run begins.
   void clear() { requested_ = false; }
-  /// Whether a run has been asked for since the last one began.
+  /// Whether a run has been requested since the last one began.
   bool requested() const { return requested_; }
 
  private:
--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -13,11 +13,11 @@
 using cluster::Job;
 using cluster::Machine;
 
-// Accelerator work that is expected within this time finds room reserved.
+// Room is reserved for the accelerator work that is expected to arrive within this time.
 constexpr Seconds kReservationHorizon{20};
-// Tasks of an array that is placed only because nothing of it has begun for long.
-constexpr std::uint32_t kFirstTasks = 16;
-// Of a machine whose type is not known.
+// Maximum number of tasks that a run places of a starving or overdue array.
+constexpr std::uint32_t kMaxInitialTasks = 16;
+// Assumed for a machine of unknown type.
 constexpr sched::Resources kUnboundedResources{1e9, 1e9, 0};
 
 }  // namespace
@@ -25,18 +25,18 @@
 SchedulingInput SnapshotBuilder::build() {
   SchedulingInput input;
   TasksByJobAndZone in_zone;
-  sched::Resources unknown_use;
-  add_machines(input, in_zone, unknown_use);
-  add_teams(input.snapshot, unknown_use);
+  sched::Resources unattributed_usage;
+  add_machines(input, in_zone, unattributed_usage);
+  add_teams(input.snapshot, unattributed_usage);
   reserve_accelerators(input.snapshot);
   add_jobs(input, in_zone);
   return input;
 }
 
-// A machine with tasks of jobs that this leader does not know gets no work; the resources that
-// these may take are added to `unknown_use`.
+// A machine that runs tasks of jobs unknown to this leader gets no work. The resources that these
+// tasks may use are added to `unattributed_usage`.
 void SnapshotBuilder::add_machines(SchedulingInput& input, TasksByJobAndZone& in_zone,
-                                   sched::Resources& unknown_use) {
+                                   sched::Resources& unattributed_usage) {
   input.snapshot.machines.reserve(cluster_.machines.all().size());
   std::map<std::pair<std::string_view, bool>, double> loss_rates;  // by zone and kind
   const auto now = context_.now();
@@ -45,9 +45,9 @@
     for (const auto& [job, tasks] : machine.usage.zoned) in_zone[job->id][machine.zone] += tasks;
     const auto* type = context_.catalog.find(machine.type);
     if (machine.usage.unknown) {
-      unknown_use.add(type == nullptr ? kUnboundedResources
-                                      : sched::Resources{type->cpus, type->gpus, 0});
-      unknown_use.add(machine.usage.used, -1);
+      unattributed_usage.add(type == nullptr ? kUnboundedResources
+                                             : sched::Resources{type->cpus, type->gpus, 0});
+      unattributed_usage.add(machine.usage.used, -1);
       continue;
     }
     if (type == nullptr || !health_.schedulable(machine, now)) continue;
@@ -73,18 +73,18 @@
   input.snapshot.machines.push_back(std::move(planned));
 }
 
-// The teams of jobs that ended before this term are not known any more. Until their tasks are gone
-// they may be any team's: all the resources that they can take count against each team's limit.
+// The teams of jobs that ended before this term are unknown. Until their tasks have ended, the
+// resources that these tasks may use count against the limit of every team.
 void SnapshotBuilder::add_teams(sched::Snapshot& snapshot,
-                                const sched::Resources& unknown_use) const {
+                                const sched::Resources& unattributed_usage) const {
   for (const auto& [name, team] : context_.settings.teams) {
     auto used = cluster_.team_usage.of(name);
-    if (team.cpus_max > 0 || team.gpus_max > 0) used.add(unknown_use);
+    if (team.cpus_max > 0 || team.gpus_max > 0) used.add(unattributed_usage);
     snapshot.teams[name] = {used, team.cpus, team.gpus, team.cpus_max, team.gpus_max};
   }
 }
 
-// Expects as much work with accelerators as has arrived lately.
+// Forecasts accelerator work at the rate of the arrivals within kArrivalWindow.
 void SnapshotBuilder::reserve_accelerators(sched::Snapshot& snapshot) const {
   double gpus = 0;
   double cpus = 0;
@@ -127,7 +127,7 @@
   if (!job.assignments.empty()) {
     job.idle_since.reset();
   } else if (!job.idle_since) {
-    // A job that never started has been idle since it was accepted, whoever led then.
+    // A job that never started has been idle since it was accepted, also under earlier leaders.
     const auto waited = job.first_task_started ? Duration::zero() : to_duration(timing_.age(job));
     job.idle_since = context_.now() - waited;
   }
@@ -140,10 +140,11 @@
 bool SnapshotBuilder::placeable(const Job& job) const {
   if (job.waiting.empty() || context_.now() < job.not_before) return false;
   if (job.completion_write_in_flight) return false;
-  // All tasks of a gang or none, and none while an earlier attempt may be anywhere.
+  // A gang is placed as a whole, and only when none of its earlier attempts may still exist.
   if (job.spec->gang() && job.waiting.size() != job.spec->tasks) return false;
   if (recovery_.reconciled()) return true;
-  // Until then, tasks that no worker has reported may run anywhere, and count for any team.
+  // Until the term is reconciled, tasks that no worker has reported may be running on any machine,
+  // and may belong to any team.
   if (job.started_by_previous_leader) return false;
   const auto team = context_.settings.teams.find(job.spec->team);
   return team != context_.settings.teams.end() && team->second.cpus_max <= 0 &&
@@ -168,9 +169,9 @@
   planned.starving = !job.first_task_started && planned.waited > sched::kStarvingAfter;
   planned.overdue = job.idle_since && context_.now() - *job.idle_since > sched::kOverdueAfter;
   planned.slack = timing_.slack(job, planned.remaining);
-  // It is to begin, not to push everything else aside: an array's first tasks will do.
+  // Such an array has to start without displacing all other work, so only some tasks are placed.
   if ((planned.starving || planned.overdue) && !job.spec->gang()) {
-    planned.waiting = std::min(planned.waiting, kFirstTasks);
+    planned.waiting = std::min(planned.waiting, kMaxInitialTasks);
   }
   return planned;
 }
--- a/src/leader/snapshot_builder.hpp
+++ b/src/leader/snapshot_builder.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What the scheduler decides on: schedulable machines, waiting jobs, and what the teams use.
+/// The scheduler's input: schedulable machines, waiting jobs, and the teams' resource usage.
 
 #include <string>
 #include <unordered_map>
@@ -16,8 +16,8 @@
 
 namespace asterstair::leader {
 
-/// A snapshot, and the machines and jobs that its `ref` fields are indexes of. The pointers hold
-/// until the tables change.
+/// A snapshot, and the machines and jobs that its `ref` fields are indexes into. The pointers are
+/// valid until the machine table or the job table changes.
 struct SchedulingInput {
   /// The scheduler's view of the cluster.
   sched::Snapshot snapshot;
@@ -42,21 +42,21 @@
         recovery_(recovery),
         live_jobs_(live_jobs) {}
 
-  /// Builds a snapshot of the tables as they are now.
+  /// Builds a snapshot of the current tables.
   SchedulingInput build();
   /// Whether any job may be placed now.
   bool any_placeable() const;
-  /// Updates since when each job has had no assignment.
+  /// Updates Job::idle_since of all jobs.
   void update_idle_times();
 
  private:
   using TasksByJobAndZone = std::unordered_map<std::string, sched::TasksByZone>;
 
   void add_machines(SchedulingInput& input, TasksByJobAndZone& in_zone,
-                    sched::Resources& unknown_use);
+                    sched::Resources& unattributed_usage);
   void add_machine(SchedulingInput& input, cluster::Machine& machine, const MachineType& type,
                    double loss_rate) const;
-  void add_teams(sched::Snapshot& snapshot, const sched::Resources& unknown_use) const;
+  void add_teams(sched::Snapshot& snapshot, const sched::Resources& unattributed_usage) const;
   void reserve_accelerators(sched::Snapshot& snapshot) const;
   void add_jobs(SchedulingInput& input, const TasksByJobAndZone& in_zone);
   std::vector<cluster::Job*> jobs_by_arrival();
--- a/src/leader/term.cpp
+++ b/src/leader/term.cpp
@@ -63,7 +63,7 @@
   log_summary_if_due();
 }
 
-// How full the cluster is, for whoever reads the log.
+// Logs the capacity, the resources in use and the waiting tasks.
 void Term::log_summary_if_due() {
   const auto now = context_.now();
   if (now - last_summary_ < kSummaryInterval) return;
--- a/src/leader/term.hpp
+++ b/src/leader/term.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One term of leadership: the modules that direct the cluster, and how they are wired.
+/// One term of leadership: owns the modules that manage the cluster, and connects them.
 
 #include <cstdint>
 #include <functional>
@@ -47,10 +47,11 @@
   std::uint32_t running = 0;
 };
 
-/// Reconciles the wanted state (live jobs done) with what the workers report, from one election to
-/// the loss of the lease. Its successor starts from the store and the workers' heartbeats. Holds no
-/// logic of its own: it owns the state and the modules, and runs the periodic loop. Owned by Node,
-/// shared with the autoscaler; held by a shared_ptr, since callbacks outlive it.
+/// Reconciles the desired state (all live jobs completed) with the state that the workers report,
+/// from one election to the loss of the lease. The next term starts from the state service and the
+/// workers' heartbeats. Term owns the state and the modules and runs the periodic loop; all other
+/// logic is in the modules. Owned by Node and shared with the autoscaler. Held by a shared_ptr,
+/// because callbacks may outlive it.
 class Term : public std::enable_shared_from_this<Term> {
  public:
   /// \param election holds the lease of this term's token
@@ -59,21 +60,22 @@
   Term(const Term&) = delete;
   Term& operator=(const Term&) = delete;
 
-  /// Begins recovery and the periodic loop. Called once, on an object that a shared_ptr owns.
+  /// Starts recovery and the periodic loop. Called once, on an object that a shared_ptr owns.
   void start();
-  /// Ends the term: nothing is ordered, answered or written any more.
+  /// Ends the term: it sends no further commands, responses or writes.
   void stop() { context_.stopped = true; }
 
   // For Node.
 
-  /// To be called only while view_is_fresh(): each response may renew a worker's lease.
+  /// See HeartbeatHandler::on_heartbeat. May be called only while view_is_fresh(), because each
+  /// response may renew a worker's lease.
   HeartbeatResponse on_heartbeat(const Heartbeat& heartbeat) {
     return heartbeats_.on_heartbeat(heartbeat);
   }
   /// See TermRecovery::view_is_fresh.
   bool view_is_fresh() const { return recovery_.view_is_fresh(); }
   /// See LiveJobs::cancel.
-  void cancelled(const std::string& job) { live_jobs_.cancel(job); }
+  void on_job_cancelled(const std::string& job) { live_jobs_.cancel(job); }
   /// See HeartbeatCommands::suspend_launches.
   void suspend_launches(bool suspended) { heartbeat_commands_.suspend_launches(suspended); }
   /// See HeartbeatHandler::heartbeats_lost.
@@ -82,26 +84,26 @@
   TimePoint last_heartbeat_at() const { return heartbeats_.last_heartbeat_at(); }
   /// See HeartbeatHandler::any_heartbeat.
   bool any_heartbeat() const { return heartbeats_.any_heartbeat(); }
-  /// The jobs of which any task is done or running.
+  /// Task counts of each job that has a done or running task.
   std::vector<JobCounts> counts() const;
 
   // For the autoscaler.
 
-  /// See TermRecovery.
+  /// See TermRecovery::recovered.
   bool recovered() const { return recovery_.recovered(); }
-  /// See TermRecovery.
+  /// See TermRecovery::reconciled.
   bool reconciled() const { return recovery_.reconciled(); }
   /// See TermRecovery::on_open_returns_known.
-  void open_returns_known() { recovery_.on_open_returns_known(); }
+  void on_open_returns_known() { recovery_.on_open_returns_known(); }
   /// See WorkerHealth::schedulable.
-  bool usable(const cluster::Machine& machine) const { return health_.schedulable(machine); }
+  bool schedulable(const cluster::Machine& machine) const { return health_.schedulable(machine); }
   /// See SchedulingLoop::demand.
   const std::vector<Demand>& demand() const { return scheduling_.demand(); }
   /// See LiveJobs::arrivals.
   const std::deque<Arrival>& arrivals() const { return live_jobs_.arrivals(); }
-  /// All machines that are known.
+  /// All machines that this leader knows.
   const cluster::MachineTable& machines() const { return cluster_.machines; }
-  /// The windowed loss rates of this term.
+  /// Loss rates of machines over a sliding window, as observed in this term.
   const sched::LossRates& losses() const { return cluster_.losses.rates(); }
   /// See cluster::MachineLosses::group_sizes.
   cluster::GroupSizes group_sizes() const { return cluster_.losses.group_sizes(); }
@@ -112,17 +114,18 @@
   /// See MachineRemoval::known_empty.
   bool known_empty(const std::string& machine) const { return removal_.known_empty(machine); }
   /// See MachineRemoval::on_gone.
-  void machine_gone(const std::string& machine) { removal_.on_gone(machine); }
+  void on_machine_terminated(const std::string& machine) { removal_.on_gone(machine); }
   /// See Consolidator::consolidate.
-  void consolidate(const std::function<bool(const cluster::Machine&)>& may_spare) {
-    consolidator_.consolidate(may_spare);
+  void consolidate(const std::function<bool(const cluster::Machine&)>& may_remove) {
+    consolidator_.consolidate(may_remove);
   }
 
  private:
   void tick();
   void log_summary_if_due();
 
-  // In the order of their dependencies; each refers only to members before it, but for callbacks.
+  // Declared in the order of their dependencies: each member refers only to earlier ones, except in
+  // callbacks.
   TermContext context_;
   cluster::ClusterState cluster_;
   SchedulingTrigger scheduling_trigger_;
--- a/src/leader/term_context.hpp
+++ b/src/leader/term_context.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What all modules of a term of leadership have in common: its surroundings and its lifetime.
+/// Dependencies and lifetime of a term of leadership, shared by all its modules.
 
 #include <cstdint>
 #include <memory>
@@ -14,10 +14,11 @@
 
 namespace asterstair::leader {
 
-/// Added to worker leases beyond clock drift: for the steps between reading a clock and acting.
+/// Safety margin added to worker leases besides clock drift. Covers the time between reading a
+/// clock and acting on it.
 inline constexpr Duration kLeaseMargin = 300ms;
 
-/// The surroundings of a term. Owned by Term; its modules refer to it.
+/// Dependencies and lifetime of a term. Owned by Term and referenced by its modules.
 struct TermContext {
   /// Clock, timers and network.
   Runtime& runtime;
@@ -33,18 +34,18 @@
   std::uint64_t token = 0;
   /// When the term began.
   TimePoint elected_at{};
-  /// Until when leaders before this term may act on their leases.
+  /// Latest time at which the lease of a previous leader may still be valid.
   TimePoint previous_leaders_expiry{};
   /// The Term, set when it starts.
   std::weak_ptr<const void> owner{};
-  /// Whether the term is over. Nothing may be ordered, answered or written any more.
+  /// Whether the term has ended. No command, response or write may be sent any more.
   bool stopped = false;
 
-  /// The steady clock.
+  /// Current time of the steady clock.
   TimePoint now() const { return runtime.now(); }
 
-  /// Wraps a callback that a module hands out, so that it does nothing once the term is over. The
-  /// term is kept alive while the callback runs.
+  /// Wraps a module's callback so that it does nothing once the term has ended. The term is kept
+  /// alive while the callback runs.
   template <typename Callback>
   auto while_alive(Callback callback) const {
     return [this, owner = owner, callback = std::move(callback)](auto&&... arguments) {
--- a/src/leader/term_recovery.cpp
+++ b/src/leader/term_recovery.cpp
@@ -17,8 +17,8 @@
 constexpr auto kReloadDelay = 300ms;  // after a read that failed
 constexpr auto kWatchRetry = 200ms;   // after a watch that failed
 constexpr Duration kMaxWatchWait = 5s;
-// So many watches fit into the staleness bound: one may be lost.
-constexpr int kWatchesWithinBound = 3;
+// Number of watches that fit into the staleness bound, so that the view stays fresh if one is lost.
+constexpr int kWatchesPerStalenessBound = 3;
 
 std::string job_of_live_key(const std::string& key) {
   return key.substr(std::string_view(store::kLivePrefix).size());
@@ -38,7 +38,8 @@
       writer_(writer),
       trigger_(trigger),
       max_view_staleness_(max_view_staleness(context.settings)),
-      watch_wait_(std::min<Duration>(kMaxWatchWait, max_view_staleness_ / kWatchesWithinBound)) {}
+      watch_wait_(
+          std::min<Duration>(kMaxWatchWait, max_view_staleness_ / kWatchesPerStalenessBound)) {}
 
 bool TermRecovery::view_is_fresh() const {
   return recovered_ && context_.now() - view_requested_at_ < max_view_staleness_;
@@ -65,7 +66,7 @@
     live.insert(job_of_live_key(item.key));
     live_jobs_.add(item);
   }
-  // When the list is read again, jobs that ended while no watch was open are missing.
+  // A repeated list no longer contains the jobs that ended while no watch was open.
   std::vector<std::string> ended;
   for (const auto& [id, job] : cluster_.jobs.all()) {
     if (live.count(id) == 0 && job.version <= result.revision) ended.push_back(id);
@@ -101,30 +102,32 @@
   const auto& [id, chunk] = *key;
   Job* job = cluster_.jobs.find(id);
   if (job == nullptr) {
-    sweep_progress(item.key, id);
+    remove_orphaned_progress(item.key, id);
     return;
   }
   writer_.set_version(item.key, item.version);
   try {
     store::decode_progress_chunk(*item.value, chunk, context_.settings.value_bytes, job->done);
   } catch (const wire::DecodeError& error) {
-    log::error("progress of {} is malformed: {}", id, error.what());
+    log::error("progress record of job {} is malformed: {}", id, error.what());
   }
   job->durable = job->done;
   job->start_record = Job::StartRecord::Durable;
   job->started_by_previous_leader = true;
 }
 
-// The record was left by a cancellation with more chunks than a transaction holds, or its job was
-// accepted after the list was read: only a record without a live job is removed.
-void TermRecovery::sweep_progress(const std::string& key, const std::string& job) {
+// Deletes a progress record whose job is not in the list of live jobs. Either the job was cancelled
+// and had more chunks than one transaction can delete, or the job was accepted after the list was
+// read. The condition that no live record exists keeps the record in the second case.
+void TermRecovery::remove_orphaned_progress(const std::string& key, const std::string& job) {
   wire::Txn sweep;
   sweep.conditions = {context_.election.guard(), {store::live_key(job), 0}};
   sweep.changes = {{key, std::nullopt}};
   context_.store.write(std::move(sweep), store::Urgency::Lazy, [](const store::WriteResult&) {});
 }
 
-// Where the tasks of jobs that an earlier leader started may be is known only once reconciled.
+// Tasks of jobs that an earlier leader started may be running on any machine until the term is
+// reconciled, so they are not added to the waiting tasks before then.
 void TermRecovery::rebuild_waiting_tasks() {
   for (auto& [id, job] : cluster_.jobs.all()) {
     const auto done = std::count(job.done.begin(), job.done.end(), true);
@@ -156,14 +159,15 @@
 }
 
 void TermRecovery::adopt_registered(const std::string& name) {
-  // The operation log, which may have been read before, tells that it has been returned.
+  // The operation log may have been read already, and may show that the machine was returned.
   if (returned_.gone(name)) return;
   Machine& machine = cluster_.machines.at(name);
   machine.id = name;
   machine.registered = true;
   if (returned_.returning(name)) machine.service = Machine::Service::Returning;
-  if (!machine.reconciled && !machine.lease_expired) pending_.insert(name);
-  // No earlier leader answers after that; its responses renewed the lease no later.
+  if (!machine.reconciled && !machine.lease_expired) unreconciled_.insert(name);
+  // Earlier leaders send no responses after this time, so it is an upper bound of the last renewal
+  // of the worker's lease.
   if (machine.last_answered == TimePoint{}) {
     machine.last_answered = context_.previous_leaders_expiry;
   }
@@ -184,7 +188,7 @@
 }
 
 void TermRecovery::check_reconciled() {
-  if (reconciled_ || !recovered_ || !pending_.empty()) return;
+  if (reconciled_ || !recovered_ || !unreconciled_.empty()) return;
   reconciled_ = true;
   for (auto& [id, job] : cluster_.jobs.all()) {
     if (job.started_by_previous_leader) JobTable::rebuild_waiting(job);
@@ -194,7 +198,7 @@
             seconds(context_.now() - context_.elected_at));
 }
 
-// A view is as old as its request: the answer may have been held up on its way.
+// The age of a view counts from its request, because the response may be delayed in transit.
 void TermRecovery::watch(std::uint64_t after, Duration wait) {
   auto on_result = [this, after, requested_at = context_.now()](const store::WatchResult& result) {
     on_watch(result, after, requested_at);
@@ -209,7 +213,7 @@
     return;
   }
   if (result.outcome == store::WatchResult::Outcome::Unavailable) {
-    // The next watch does not wait: what was missed meanwhile is needed at once.
+    // The next watch returns at once, to deliver the events that were missed without delay.
     context_.runtime.after(kWatchRetry, context_.while_alive([this, after] { watch(after, 0s); }));
     return;
   }
--- a/src/leader/term_recovery.hpp
+++ b/src/leader/term_recovery.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// How a term begins: recovery from the store, the watch on live jobs, reconciliation with workers.
+/// Start of a term: recovery from the state service, watch on the live jobs, and reconciliation
+/// with the workers.
 
 #include <cstdint>
 #include <set>
@@ -16,12 +17,12 @@
 
 namespace asterstair::leader {
 
-/// Reads what earlier leaders left, then follows the live jobs. A term is
-/// - *recovered* once live jobs, progress, registry and open returns have been read: heartbeats may
-///   be answered from then on, while the view of the live jobs is fresh;
-/// - *reconciled* once each registered machine has sent a heartbeat under this term's token, or has
-///   surely lost its lease: until then, tasks of jobs that an earlier leader started may run
-///   anywhere.
+/// Reads the records of earlier leaders, then watches the live jobs. A term is
+/// - *recovered* once it has read the live jobs, progress records, machine registry and open
+///   returns. From then on heartbeats may be answered while the view of the live jobs is fresh;
+/// - *reconciled* once each registered machine has sent a heartbeat under this term's token, is
+///   known to have lost its lease, or is known to be terminated. Until then, tasks of jobs that an
+///   earlier leader started may be running on any machine.
 /// Owned by Term.
 class TermRecovery {
  public:
@@ -30,25 +31,25 @@
                MachineRegistry& registry, const ReturnedMachines& returned, FencedWriter& writer,
                SchedulingTrigger& trigger);
 
-  /// Begins to read. Failed reads are repeated until the term ends.
+  /// Starts the recovery. Failed reads are retried until the term ends.
   void start() { load_live_jobs(); }
-  /// The returns that earlier leaders made durable are all known. Nothing is started, and no
-  /// heartbeat answered, before.
+  /// Called when all returns that earlier leaders made durable are known. Until then no task is
+  /// started and no heartbeat is answered.
   void on_open_returns_known();
 
-  /// See above.
+  /// Whether the records of earlier leaders have been read.
   bool recovered() const { return recovered_; }
-  /// See above.
+  /// Whether reconciliation with the registered machines is complete.
   bool reconciled() const { return reconciled_; }
-  /// Whether the view of the live jobs is recent enough for heartbeats to be answered. Each
-  /// response may renew a lease, so a cancellation that the view lacks takes effect within
-  /// max_view_staleness() and a lease; see "Why cancelled tasks end in time" in docs/design.md.
+  /// Whether the view of the live jobs is recent enough to answer heartbeats. Each response may
+  /// renew a lease, so a cancellation that the view does not show yet takes effect within
+  /// max_view_staleness() plus one lease; see "Why cancelled tasks end in time" in docs/design.md.
   bool view_is_fresh() const;
 
-  /// The machine need not be waited for any more: it is reconciled, or its lease has surely
-  /// expired, or it is gone.
-  void stop_awaiting(const std::string& machine) { pending_.erase(machine); }
-  /// Ends reconciliation once no machine is waited for.
+  /// Removes the machine from those that reconciliation waits for: it is reconciled, its lease is
+  /// known to have expired, or it is terminated.
+  void stop_awaiting(const std::string& machine) { unreconciled_.erase(machine); }
+  /// Completes reconciliation once it waits for no machine.
   void check_reconciled();
 
  private:
@@ -57,7 +58,7 @@
   void load_progress();
   void on_progress(const store::ListResult& result);
   void load_job_progress(const wire::Item& item);
-  void sweep_progress(const std::string& key, const std::string& job);
+  void remove_orphaned_progress(const std::string& key, const std::string& job);
   void rebuild_waiting_tasks();
   void load_registry();
   void on_registry(const store::ListResult& result);
@@ -76,14 +77,14 @@
   SchedulingTrigger& trigger_;
   const Duration max_view_staleness_;
   const Duration watch_wait_;
-  TimePoint view_requested_at_{};  // of the newest view that has arrived
+  TimePoint view_requested_at_{};  // when the newest received view was requested
   std::uint64_t live_revision_ = 0;
   bool registry_loaded_ = false;
   bool open_returns_known_ = false;
   bool recovered_ = false;
   bool reconciled_ = false;
-  // Registered machines that are not reconciled, and not known to be without tasks.
-  std::set<std::string> pending_;
+  // Registered machines that are neither reconciled nor known to run no tasks.
+  std::set<std::string> unreconciled_;
 };
 
 }  // namespace asterstair::leader
--- a/src/node/peer_gossip.cpp
+++ b/src/node/peer_gossip.cpp
@@ -49,7 +49,7 @@
 // The leader may be the one node that the state service refuses, and its watch would tell it
 // nothing. So the node that confirms a cancellation tells the peers before the user.
 void PeerGossip::announce_cancellation(const std::string& job) {
-  if (auto* term = terms_.term()) term->cancelled(job);
+  if (auto* term = terms_.term()) term->on_job_cancelled(job);
   cancellations_.add(job, runtime_.now());
   auto message = state_message();
   message.leader.clear();  // the message carries no counts
@@ -113,7 +113,7 @@
   auto* term = terms_.term();
   if (term == nullptr) return;
   for (const auto& job : jobs) {
-    if (wire::valid_job_id(job)) term->cancelled(job);
+    if (wire::valid_job_id(job)) term->on_job_cancelled(job);
   }
 }
 
