--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -1,4 +1,4 @@
-// Failover: what the next leader must get right, and when a leader hands over.
+// Failover: what the next leader must preserve, and when a leader steps down in favour of a peer.
 
 #include <gtest/gtest.h>
 
@@ -9,15 +9,17 @@
 
 using namespace sim;
 
-// Leaders follow one another before the workers send two heartbeats to any of them, and each first
-// answer renews the leases once. Guard: HeartbeatCommands::stops_for_ended_jobs.
-TEST(Failover, FirstAnswersStopTasksOfFinalJobs) {
+// The first response of a new leader to a worker renews the worker's lease. If leaders change so
+// fast that a worker sends no second heartbeat to any of them, tasks of ended jobs would keep
+// running, so the first response must stop them already. Guard:
+// HeartbeatCommands::stops_for_ended_jobs.
+TEST(Failover, FirstResponsesStopTasksOfEndedJobs) {
   Scenario scenario(44, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
   const auto id = scenario.users.submit(array_job(2, 400));
   scenario.run_until(40);
   const int old = scenario.leader();
   ASSERT_GE(old, 0);
-  std::size_t first = 0, stopped = 0;
+  std::size_t first_responses = 0, stopped = 0;
   scenario.crash(old, 30);
   drop_direct_commands(scenario.network);
   scenario.cancel_through_next_node(old, id);
@@ -26,26 +28,27 @@
                                         HttpResponse& response) {
     if (!is_accepted_heartbeat(request, response)) return;
     const auto in = Json::parse(request.body), out = Json::parse(response.body);
-    bool holds = false;
-    for (const auto& p : in["pieces"]) holds = holds || p["stage"] != "exited";
-    if (!holds || !seen.insert(in["host"]).second) return;
-    ++first;
+    bool has_tasks = false;
+    for (const auto& task : in["pieces"]) has_tasks = has_tasks || task["stage"] != "exited";
+    if (!has_tasks || !seen.insert(in["host"]).second) return;
+    ++first_responses;
     for (const auto& command : out["orders"]) stopped += command["verb"] == "kill" ? 1 : 0;
   };
   scenario.run_until(120);
-  EXPECT_GT(first, 0U);
-  EXPECT_GE(stopped, 2U) << "both tasks, in the first answers";
+  EXPECT_GT(first_responses, 0U);
+  EXPECT_GE(stopped, 2U) << "the first responses must stop both tasks";
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
-// Jobs of a few tasks that end far apart, with a new leader between any two.
+// The tasks of a job end at widely different times, each under another leader. The progress of the
+// job must survive each failover.
 TEST(Failover, FinishesJobsWhoseTasksEndInDifferentTerms) {
   for (const std::uint64_t seed : {52, 53, 54}) {
     Scenario scenario(seed, 3, 5);
     std::vector<std::string> ids;
     for (std::uint32_t n : {2U, 3U, 2U, 3U}) {
       auto job = array_job(n, 30);
-      job.workload.cpus = 16;  // one a machine
+      job.workload.cpus = 16;  // one task per machine
       ids.push_back(scenario.users.submit(job));
       scenario.run_until(scenario.simulator.elapsed() + 9);
     }
@@ -63,11 +66,11 @@
   }
 }
 
-// All machines are gone as a leader ends. Each next leader got no heartbeat for a few seconds and
-// handed over, long before the leases of the registered machines had expired. That went on for
-// ever, and nothing was started any more. Guard: LeadershipMonitor::check_own_term asks whether the
-// peer gets heartbeats.
-TEST(Failover, EndsHandoversWhenAllMachinesAreGone) {
+// All machines are terminated and the leader crashes. Each next leader received no heartbeat for a
+// few seconds and stepped down, long before the leases of the registered machines expired. This
+// repeated without end, and no task was started any more. Guard: LeadershipMonitor::check_own_term
+// asks whether the peer receives heartbeats.
+TEST(Failover, EndsHandoversWhenAllMachinesAreTerminated) {
   Scenario scenario(61, 3, 5);
   for (int i = 0; i < 6; ++i) scenario.users.submit(array_job(8, 300));
   scenario.run_until(40);
@@ -81,10 +84,11 @@
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
-// A machine that never gets an answer from the new leader keeps sending heartbeats. As long as that
-// lasted, the term did not settle, and teams with a limit and all earlier jobs waited. Without
-// answers, its lease expires here too. Guard: WorkerHealth::never_saw_token.
-TEST(Failover, SettlesBesideAMachineThatGetsNoAnswers) {
+// A machine keeps sending heartbeats but receives no responses from the new leader. While that
+// lasted, the term was not reconciled, so that jobs of teams with a limit and all earlier jobs had
+// to wait. The leader must refuse such heartbeats, so that the machine's lease expires at the
+// leader too. Guard: WorkerHealth::never_saw_token.
+TEST(Failover, ReconcilesDespiteAMachineThatReceivesNoResponses) {
   Scenario scenario(62, 3, 3, {.report_s = 3, .lease_s = 20, .cancel_s = 40});
   scenario.users.submit(array_job(8, 400));
   scenario.run_until(40);
@@ -94,14 +98,16 @@
   scenario.crash(scenario.leader(), 0.2);
   scenario.run_until(42);
   const auto id = scenario.users.submit(array_job(1, 5, "red"));
-  // A lease, a round of the three nodes until the next heartbeat comes here, a boot and the job.
+  // A worker's lease, the time in which the worker tries all three nodes until its next heartbeat
+  // arrives at the leader, a boot, and the job.
   scenario.run_until(42 + 20 + 15 + 13 + 8 + 5);
   EXPECT_EQ(scenario.checker.final_stage(id), "done");
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
-// The state service keeps a limited history. Followers watch the leader's key, which seldom
-// changes. A watch from the key's version was refused at once, again and again, for all followers.
+// Followers watch the leader key, which seldom changes, and the state service keeps a limited
+// history of changes. When the key's version was older than the history, each watch from it was
+// refused at once, and all followers retried without end.
 TEST(Follower, KeepsItsWatchWhenTheLeaderKeyIsOld) {
   Scenario scenario(31);
   scenario.store.history_limit = 20;
@@ -112,14 +118,14 @@
   scenario.run_until(60);
   const auto before = scenario.store.watches_opened;
   scenario.run_until(120);
-  // Two followers open one in 10 s each, the leader one in 5 s, and more when jobs end.
+  // Two followers each open one watch per 10 s, the leader one per 5 s, and more when jobs end.
   EXPECT_LT(scenario.store.watches_opened - before, 100U);
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
-// A leader that alone loses the state service would keep its grant for many seconds, in which
-// nothing starts that others accept.
-TEST(Handover, FollowsWhenTheLeaderAloneLosesTheStateService) {
+// Only the leader loses the state service. Without a handover it would keep its store lease for
+// many seconds, in which no job starts that the other nodes accept.
+TEST(Handover, HappensWhenOnlyTheLeaderLosesTheStateService) {
   Scenario scenario(32, 3, 5);
   scenario.users.submit(array_job(4, 30));
   scenario.run_until(30);
@@ -140,9 +146,9 @@
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
-// An outage is the same for all. Stepping down would cost the valid lease with which the work goes
-// on.
-TEST(Handover, DoesNotFollowAnOutageForAll) {
+// All nodes lose the state service, so no peer can do better. Stepping down would give up the valid
+// lease under which the work continues.
+TEST(Handover, DoesNotHappenWhenAllNodesLoseTheStateService) {
   Scenario scenario(33, 3, 5);
   scenario.users.submit(array_job(4, 60));
   scenario.run_until(30);
@@ -158,8 +164,9 @@
   EXPECT_EQ(scenario.leader(), first);
 }
 
-// A leader that no worker reaches renews its grant for ever, and every worker's lease would expire.
-TEST(Handover, FollowsWhenTheLeaderAloneLosesTheWorkers) {
+// No worker reaches the leader, which can still renew its store lease indefinitely. Without a
+// handover every worker's lease would expire.
+TEST(Handover, HappensWhenOnlyTheLeaderLosesTheWorkers) {
   Scenario scenario(34, 3, 5);
   for (int i = 0; i < 6; ++i) scenario.users.submit(array_job(6, 200));
   scenario.run_until(40);
@@ -167,12 +174,12 @@
   ASSERT_GE(first, 0);
   const auto machines = scenario.cloud.running_workers();
   ASSERT_GE(machines.size(), 3U);
-  // Idle ones may be returned meanwhile.
+  // Only busy workers are checked, because idle ones may be returned meanwhile.
   const auto epochs = scenario.cloud.epochs_of_busy_workers();
   for (const auto& worker : machines) {
     scenario.network.set_two_way_drop(scenario.node_name(first), worker->id, true);
   }
-  ASSERT_GE(epochs.size(), 9U);  // 36 tasks, four to a machine
+  ASSERT_GE(epochs.size(), 9U);  // 36 tasks, four per machine
   scenario.run_until(100);
   EXPECT_GE(scenario.leader(), 0);
   EXPECT_NE(scenario.leader(), first);
@@ -180,14 +187,15 @@
     const auto busy = epochs.find(worker->id);
     if (busy == epochs.end()) continue;
     EXPECT_FALSE(worker->terminated) << worker->id;
-    EXPECT_EQ(worker->epoch(), busy->second) << worker->id << ": its lease has run out";
+    EXPECT_EQ(worker->epoch(), busy->second) << worker->id << ": its lease has expired";
   }
   scenario.network.clear_drops();
   scenario.run_until(400);
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
-// In an outage for all nobody confirms any cancellation, so jobs that have begun are continued.
+// While all nodes lose the state service, no node can confirm a cancellation. It is therefore safe
+// to start further tasks of jobs that have begun, and the leader must do so.
 TEST(StateServiceOutage, DoesNotStopFurtherStarts) {
   Scenario scenario(49, 1, 5);
   for (int i = 0; i < 10; ++i) scenario.users.submit(array_job(60, 4));
--- a/tests/unreachable_leader_test.cpp
+++ b/tests/unreachable_leader_test.cpp
@@ -1,5 +1,5 @@
-// A leader that some or all of the others cannot reach, although it may still act. Each test fails
-// without the guard that it names.
+// Failover from a leader that some or all other nodes cannot reach, although its lease may still be
+// valid. A test that names a guard fails if that guard is removed.
 
 #include <gtest/gtest.h>
 
@@ -9,8 +9,8 @@
 
 using namespace sim;
 
-// The leader reaches its workers only, and they reach nobody else. Once it stops answering, they
-// lose their leases.
+// Partitions the leader and all workers from the other nodes and the state service. The workers
+// reach only this leader, so their leases expire once it stops answering them.
 void isolate_with_all_workers(Scenario& scenario, int leader) {
   scenario.set_control_plane_drop(leader, true);
   for (const auto& worker : scenario.cloud.running_workers()) {
@@ -20,9 +20,9 @@
   }
 }
 
-// The leader freezes for longer than a worker's lease, and its grant lasts longer still. A majority
-// of its peers suspects it: one of them takes over while the workers still have time to find it.
-// Guard: LeadershipMonitor::check_leader_liveness.
+// The leader freezes for longer than a worker's lease, and its store lease lasts even longer. A
+// majority of the nodes suspects it, so a peer must take over early enough that the workers find
+// the new leader before their leases expire. Guard: LeadershipMonitor::check_leader_liveness.
 TEST(UnreachableLeader, IsReplacedBeforeWorkerLeasesExpire) {
   for (const std::uint64_t seed : {71, 72, 73}) {
     Scenario scenario(seed, 3, 5);
@@ -39,7 +39,7 @@
       const auto busy = epochs.find(worker->id);
       if (busy == epochs.end()) continue;
       EXPECT_EQ(worker->epoch(), busy->second)
-          << worker->id << ": its lease has run out, seed " << seed;
+          << worker->id << ": its lease has expired, seed " << seed;
     }
     scenario.run_until(500);
     EXPECT_TRUE(scenario.checker.violations.empty()) << "seed " << seed << "\n"
@@ -47,9 +47,9 @@
   }
 }
 
-// The leader reaches everything but its peers. They replace it, and it must notice although its
-// grant is touched with success. Guard: Renewer::renew reads the key first.
-TEST(UnreachableLeader, StepsDownWhenOnlyItsPeersAreLost) {
+// The leader reaches everything except its peers, which replace it. It must notice that although it
+// can still renew its store lease. Guard: Renewer::renew reads the key first.
+TEST(UnreachableLeader, StepsDownWhenOnlyItsPeersAreUnreachable) {
   Scenario scenario(74, 3, 5);
   for (int i = 0; i < 6; ++i) scenario.users.submit(array_job(6, 200));
   scenario.run_until(40);
@@ -67,24 +67,25 @@
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
-// One node alone does not hear the leader: that node is the isolated one.
-TEST(UnreachableLeader, StaysWhileAMajorityHearsIt) {
+// Only one node does not receive the leader's messages, because that node is isolated. The leader
+// must not be replaced.
+TEST(UnreachableLeader, KeepsLeadingWhileAMajorityReceivesItsMessages) {
   Scenario scenario(75, 3, 5);
   scenario.users.submit(array_job(6, 200));
   scenario.run_until(20);
   const int leader = scenario.leader();
   ASSERT_GE(leader, 0);
-  const int cut_off = (leader + 1) % scenario.node_count();
+  const int isolated = (leader + 1) % scenario.node_count();
   for (int i = 0; i < scenario.node_count(); ++i) {
-    scenario.network.set_two_way_drop(scenario.node_name(cut_off), scenario.node_name(i), true);
+    scenario.network.set_two_way_drop(scenario.node_name(isolated), scenario.node_name(i), true);
   }
   scenario.run_until(100);
   EXPECT_EQ(scenario.leader(), leader);
 }
 
-// A leader that has lost its peers and the state service is replaced while its lease is still
-// valid, and some workers stay with it. Until its lease expires it may renew their leases, so their
-// tasks must not start elsewhere. Guard: Lease::previous_holders_expiry.
+// A leader that reaches neither its peers nor the state service is replaced while its lease is
+// still valid, and the workers reach only the old leader. Until its lease expires it may renew
+// their leases, so their tasks must not start elsewhere. Guard: Lease::previous_holders_expiry.
 TEST(UnreachableLeader, DelaysTheRestartOfItsWorkersTasks) {
   for (const std::uint64_t seed : {76, 77, 78}) {
     Scenario scenario(seed, 3, 5);
@@ -95,7 +96,8 @@
     ASSERT_GE(old, 0);
     isolate_with_all_workers(scenario, old);
     scenario.run_until(50);
-    EXPECT_GE(scenario.leader(old), 0) << "not replaced: the test shows nothing";
+    EXPECT_GE(scenario.leader(old), 0)
+        << "the old leader was not replaced, so the test checks nothing";
     scenario.run_until(100);
     EXPECT_TRUE(scenario.checker.violations.empty()) << "seed " << seed << "\n"
                                                      << scenario.checker.report();
@@ -107,8 +109,9 @@
   }
 }
 
-// The new leader steps down or ends within a second: its successor inherits the delay.
-// Guard: the leader record says that its claim was forced.
+// The new leader steps down or crashes within a second of its forced claim. Its successor must
+// delay the restart of tasks as long as it would have. Guard: the leader record states that the
+// claim was forced.
 TEST(UnreachableLeader, DelaysRestartsAcrossASecondFailover) {
   for (const std::uint64_t seed : {79, 80, 81}) {
     Scenario scenario(seed, 3, 5);
@@ -132,9 +135,9 @@
   }
 }
 
-// A leader ends long after its forced term has begun. Its successor need not wait for leaders
-// before it: a machine without heartbeats is waited for a lease, not for a grant and a lease.
-// Guard: PreviousHolders::record_when_expired.
+// A leader crashes long after its forced claim, when the lease of the leader before it has expired.
+// Its successor must wait for a machine without heartbeats only for a worker's lease, not for a
+// store lease and a worker's lease. Guard: PreviousHolders::record_when_expired.
 TEST(UnreachableLeader, DelaysNothingOnceItsLeaseHasExpired) {
   Scenario scenario(82, 3, 3);
   scenario.users.submit(array_job(8, 400));
@@ -144,7 +147,7 @@
   scenario.freeze(old, 8);
   scenario.run_until(50);
   const int next = scenario.leader(old);
-  ASSERT_GE(next, 0) << "not replaced: the test shows nothing";
+  ASSERT_GE(next, 0) << "the old leader was not replaced, so the test checks nothing";
   scenario.run_until(80);
   const auto machines = scenario.cloud.running_workers();
   ASSERT_FALSE(machines.empty());
@@ -152,7 +155,7 @@
   scenario.crash(next, 0.2);
   scenario.run_until(81);
   const auto id = scenario.users.submit(array_job(1, 5, "red"));
-  // A lease, the machine's next heartbeat and the image. A grant would add 20 s.
+  // A worker's lease, the machine's next heartbeat and the image. A store lease would add 20 s.
   scenario.run_until(81 + 10 + 8);
   EXPECT_TRUE(scenario.checker.has_begun(id));
   scenario.network.reconnect(machines.front()->id);
@@ -161,8 +164,8 @@
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
 }
 
-// A leader reaches neither the state service nor its peers, only its workers. The next leader must
-// not be held up, and a cancellation that another node confirms must hold.
+// A leader reaches only its workers, neither the state service nor its peers. The election of the
+// next leader must not be delayed, and a cancellation that another node confirms must take effect.
 TEST(UnreachableLeader, GivesWayWhenOnlyItsWorkersReachIt) {
   Scenario scenario(23, 3, 5);
   const auto id = scenario.users.submit(array_job(4, 300));
@@ -178,7 +181,7 @@
       if (i != old && scenario.process(i).node->leading()) next = i;
     }
   }
-  EXPECT_GE(next, 0) << "nobody took over within 35 s";
+  EXPECT_GE(next, 0) << "no node took over within 35 s";
   scenario.run_until(200);
   EXPECT_EQ(scenario.checker.final_stage(id), "withdrawn");
   EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
