--- a/src/lease/acquirer.cpp
+++ b/src/lease/acquirer.cpp
@@ -7,12 +7,12 @@
 namespace asterstair::lease {
 namespace {
 
-// Pause before the record is read again after a failed request: the state service's limit on
-// requests is not spent on an outage.
+// Delay before the record is read again after a failed request. It keeps an outage from using up
+// the state service's rate limit.
 constexpr auto kReadRetryInterval = 400ms;
-// How long a watch waits for a change before it is sent again.
+// How long one watch request waits for a change before it is sent again.
 constexpr auto kWatchTimeout = 10s;
-// Pause between forced claims. One is given time to succeed before the next is sent.
+// Minimum interval between forced claims: each one has time to succeed before the next is sent.
 constexpr auto kForcedClaimInterval = 3s;
 
 }  // namespace
@@ -53,13 +53,13 @@
   runtime_.after(delay, step_.begin([this] { read_record(); }));
 }
 
-// The record is listed, not read by its name, because a list tells the revision to watch from. The
-// service forgets the record's own version once enough else has changed, and then refuses a watch
-// from there.
+// Lists the record instead of reading its key, because a list returns the store's revision to watch
+// from. The record's own version may be too old for that: the state service keeps a limited number
+// of events, and refuses a watch from a revision before them.
 void Acquirer::read_record() {
   step_.cancel();
   if (!campaigning_) return;
-  store_.list(options_.key, step_.join([this](const store::ListResult& list) { on_list(list); }));
+  store_.list(options_.key, step_.wrap([this](const store::ListResult& list) { on_list(list); }));
 }
 
 void Acquirer::on_list(const store::ListResult& list) {
@@ -70,13 +70,13 @@
   const auto item = std::find_if(list.items.begin(), list.items.end(),
                                  [this](const auto& listed) { return listed.key == options_.key; });
   if (item == list.items.end()) {
-    on_vacant();
+    on_missing_record();
   } else {
     on_item(*item, list.revision);
   }
 }
 
-void Acquirer::on_vacant() {
+void Acquirer::on_missing_record() {
   forget_holder();
   if (runtime_.now() < no_claim_before_) {
     read_record_after(kReadRetryInterval);
@@ -90,8 +90,8 @@
   try {
     record = store::decode_holder(*item.value);
   } catch (const wire::DecodeError& error) {
-    // The holder cannot be told. The record is watched until it changes or vanishes, and is never
-    // overwritten.
+    // The holder is unknown. The record is watched until it changes or is deleted. An empty node
+    // keeps ContentionPolicy::TakeOver from overwriting it.
     log::error("lease {}: malformed record: {}", item.key, error.what());
     record = {};
     record.forced = true;
@@ -127,8 +127,9 @@
   } else if (runtime_.now() < no_claim_before_) {
     read_record_after(kReadRetryInterval);
   } else {
-    // An earlier process of this node held the lease and has ended, since a node runs one process.
-    // The claim writes the record, so late transactions of that process fail.
+    // An earlier process of this node held the lease. It has terminated, since a node runs one
+    // process at a time. The claim changes the record's version, so late transactions of that
+    // process fail.
     claim_released(version, record.forced);
   }
 }
@@ -147,9 +148,9 @@
                }));
 }
 
-// Claims the record at this version, whose holder has stepped down or ended. If that holder's term
-// was forced, the leases of holders before it may still be valid, unless it has recorded that they
-// have expired.
+// Claims the record at this version, whose holder has stepped down or terminated. If that holder's
+// claim was forced, the leases of holders before it may still be valid, unless it has recorded that
+// they have expired.
 void Acquirer::claim_released(std::uint64_t version, bool forced) {
   if (!forced || options_.expiry_record_key.empty()) {
     claim(version, forced);
@@ -157,12 +158,13 @@
   }
   store_.get_now(options_.expiry_record_key,
                  step_.begin([this, version](const store::ReadResult& result) {
-                   claim(version, !records_expiry_of(result, version));
+                   claim(version, !is_expiry_recorded(result, version));
                  }));
 }
 
-// A record that is missing, malformed or could not be read says nothing.
-bool Acquirer::records_expiry_of(const store::ReadResult& result, std::uint64_t version) const {
+// Whether the expiry record names this version. False if the record is missing, malformed or could
+// not be read.
+bool Acquirer::is_expiry_recorded(const store::ReadResult& result, std::uint64_t version) const {
   if (result.outcome != store::ReadOutcome::Found) return false;
   try {
     return store::decode_previous_holders_expired(*result.item.value) == version;
@@ -194,7 +196,7 @@
                          store::encode_holder({options_.node, pending_.id, pending_.forced}),
                          pending_.store_lease});
   store_.write(std::move(txn), store::Urgency::User,
-               step_.join([this](const store::WriteResult& result) { on_claim_written(result); }));
+               step_.wrap([this](const store::WriteResult& result) { on_claim_written(result); }));
 }
 
 void Acquirer::on_claim_written(const store::WriteResult& result) {
@@ -203,13 +205,13 @@
     return;
   }
   if (result.outcome != store::WriteOutcome::Conflict) {
-    // The write may have been carried out: reading the record tells.
+    // The write may have been executed. The record shows whether it was.
     read_record_after(kReadRetryInterval);
     return;
   }
   store_.revoke_store_lease(pending_.store_lease);
   if (options_.claim_conditions) {
-    // The further conditions may be what does not hold. They may hold again later.
+    // The conflict may come from the owner's conditions, which may hold again later.
     read_record_after(kReadRetryInterval);
   } else {
     read_record();
--- a/src/lease/lease.cpp
+++ b/src/lease/lease.cpp
@@ -3,7 +3,7 @@
 namespace asterstair::lease {
 namespace {
 
-// How long a node that has stepped down leaves the record to its peers.
+// How long a node does not claim the lease after it has stepped down, so that a peer claims it.
 constexpr auto kClaimDelayAfterStepDown = 5s;
 
 }  // namespace
@@ -46,14 +46,14 @@
   return held() ? options_.node : acquirer_.observed_holder();
 }
 
-// The owner learns of the term before the first renewal is sent, and finds the lease held.
+// The lease counts as held when the owner's callback runs, and no renewal is sent before it.
 void Lease::on_acquired(const AcquiredClaim& claim) {
   renewer_.begin_term(claim);
   events_.acquired(claim.token, claim.forced);
   renewer_.start();
 }
 
-// The owner ends its term before this node campaigns again.
+// The owner's callback ends its term before this node campaigns again.
 void Lease::on_lost() {
   events_.lost();
   acquirer_.resume();
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -13,39 +13,42 @@
 
 namespace asterstair::lease {
 
-/// A named lease in the state service, at most one candidate of which may act at a time.
+/// A named lease in the state service. At most one candidate may act under it at a time.
 ///
-/// Its record is a key that hangs on a store lease, and the version of the record is the fencing
-/// token: every write of the holder is conditional on it, see guard(). The holder may act only
-/// while lease_valid(). Renewer decides that, and says what follows from an expiry.
+/// The lease's record is a key that is attached to a store lease. The version of the record is the
+/// fencing token: every write of the holder is conditional on it, see guard(). The holder may act
+/// only while lease_valid(). See Renewer for how validity is decided and for what follows from an
+/// expiry.
 ///
-/// leader::Election owns the leader's lease, and provisioning::ProvisioningController the one that
-/// fences provisioning. This class joins the two halves: Acquirer works while the lease is not
-/// held, Renewer while it is. All calls and callbacks come from the event loop's thread.
+/// leader::Election owns the leader's lease, and provisioning::ProvisioningController the lease
+/// that fences provisioning. Acquirer works while the lease is not held, Renewer while it is held.
+/// All calls and callbacks come from the event loop's thread.
 class Lease {
  public:
-  /// `runtime` and `store` have to outlive the lease. Nothing is sent before campaign().
+  /// `runtime` and `store` must outlive the lease. Nothing is sent before campaign().
   Lease(Runtime& runtime, store::Store& store, Options options, Events events);
 
   Lease(const Lease&) = delete;
   Lease& operator=(const Lease&) = delete;
 
-  /// Tries to acquire the lease, and again whenever it is lost, until withdraw().
+  /// Tries to acquire the lease until withdraw(), also again after each loss.
   void campaign();
-  /// Gives the lease up if it is held, and ends the campaign.
+  /// Releases the lease if it is held, and ends the campaign.
   void withdraw();
-  /// Gives the lease up for good if it is held: nothing is done under its token any more. The
-  /// campaign goes on, but this node claims only after 5 s, so that its peers come first.
+  /// Releases the lease if it is held: nothing more is done under its token. The campaign goes on,
+  /// but this node claims only after 5 s, so that a peer can claim the lease first.
   void step_down();
 
-  /// A peer has stepped down from this token: claims the record at that version, if it is still
-  /// there. Called for each gossip message that names one; a repeated or late one does nothing.
+  /// A peer has stepped down from this token: claims the record if it still has that version.
+  /// Called for each gossip message that contains such a token; a repeated or late one has no
+  /// effect.
   void claim_after_step_down(std::uint64_t token);
   /// A majority of the nodes suspects the holder: claims the lease without waiting for the store
-  /// lease to expire. The holder's lease may be valid until previous_holders_expiry(). May be
-  /// called as often as the suspicion is found.
+  /// lease to expire. The previous holder's lease may be valid until previous_holders_expiry(). May
+  /// be called repeatedly while the suspicion lasts.
   void force_claim();
-  /// A peer says that it holds the lease under this token: a holder with a lower one loses it.
+  /// A peer reports that it holds the lease under this token. If this node holds it under a lower
+  /// token, it has lost the lease.
   void on_higher_token(std::uint64_t token);
 
   /// Whether this node holds the lease, valid or expired.
@@ -54,9 +57,9 @@
   bool lease_valid() const { return renewer_.lease_valid(); }
   /// Fencing token; 0 while the lease is not held.
   std::uint64_t token() const { return renewer_.token(); }
-  /// The latest token that this node has stepped down from; 0: none.
+  /// The last token that this node has stepped down from; 0: none.
   std::uint64_t stepped_down_token() const { return stepped_down_token_; }
-  /// Until when, at the latest, the lease of a holder before this node's term may be valid.
+  /// When the leases of all holders before this node's term have expired at the latest.
   TimePoint previous_holders_expiry() const { return renewer_.previous_holders_expiry(); }
   /// The condition that every write of the holder carries.
   wire::Condition guard() const { return {options_.key, token()}; }
--- a/src/lease/previous_holders.cpp
+++ b/src/lease/previous_holders.cpp
@@ -4,7 +4,7 @@
 
 namespace asterstair::lease {
 
-// A previous holder has sent its last successful renewal before this claim was carried out, see
+// A previous holder sent its last successful renewal before this claim was executed, see
 // Renewer::renew(). Its lease therefore expires within one ttl from now.
 void PreviousHolders::begin_term(std::uint64_t token, bool forced) {
   token_ = token;
--- a/src/lease/previous_holders.hpp
+++ b/src/lease/previous_holders.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Bound on the leases of holders before a forced claim.
+/// Validity of previous holders' leases after a forced claim. Owned by Renewer.
 
 #include <cstdint>
 
@@ -11,28 +11,30 @@
 
 namespace asterstair::lease {
 
-/// The bound until which leases of previous holders may still be valid, and the durable record that
-/// the bound has passed.
+/// Tracks until when leases of previous holders may be valid, and stores a durable record once they
+/// have all expired.
 ///
-/// Only a forced claim leaves such a previous holder. The record lets the next claim from this
-/// term's record count as not forced. Without it every term after a forced one would be forced as
-/// well, and would wait longer than it must for machines that send no heartbeat. Owned by Renewer.
+/// A previous holder's lease can only still be valid after a forced claim. The record lets the next
+/// claim, which replaces this term's record, count as not forced. Without it, every term after a
+/// forced one would be forced as well, and would wait longer than necessary for machines that send
+/// no heartbeats.
 class PreviousHolders {
  public:
-  /// `options` has to outlive this object.
+  /// `options` must outlive this object.
   PreviousHolders(Runtime& runtime, store::Store& store, const Options& options)
       : runtime_(runtime), store_(store), options_(options) {}
 
-  /// A term under this token begins now. `forced`: its claim did not wait for the previous holder.
+  /// A term under this token begins now. `forced`: its claim did not wait until the previous
+  /// holder's lease had expired.
   void begin_term(std::uint64_t token, bool forced);
-  /// The term has ended: nothing is recorded any more. The bound stays as it was.
+  /// The term has ended: nothing more is recorded. expiry() keeps its value.
   void end_term();
 
-  /// Until when, at the latest, a previous holder's lease may be valid, on this node's steady
-  /// clock. The time of the claim if it was not forced.
+  /// When all previous holders' leases have expired at the latest, by this node's steady clock. The
+  /// start of the term if its claim was not forced.
   TimePoint expiry() const { return expiry_; }
   /// Writes the record once, after expiry(), under the fencing token of the term. Called
-  /// periodically while the lease is held; `lease_valid` says whether its holder may write.
+  /// periodically while the lease is held. Writes nothing unless `lease_valid`.
   void record_when_expired(bool lease_valid);
 
  private:
@@ -42,7 +44,7 @@
   CallbackGuard write_;
   std::uint64_t token_ = 0;
   TimePoint expiry_{};
-  bool unrecorded_ = false;  // the term is forced, and the record not known to be written
+  bool unrecorded_ = false;  // the term is forced, and the record is not known to be durable
   bool writing_ = false;
 };
 
--- a/src/lease/renewer.cpp
+++ b/src/lease/renewer.cpp
@@ -7,17 +7,19 @@
 namespace asterstair::lease {
 namespace {
 
-// Taken off the validity: covers the steps between deciding and the packet leaving.
+// Subtracted from the validity: covers the time between the check of the lease and the sending of
+// the packet.
 constexpr auto kValidityMargin = 300ms;
-// Pause between renewals, or a sixth of the ttl if that is shorter: several may fail before the
-// lease expires.
+// Interval between renewals, or a sixth of the ttl if that is shorter. Several renewals may fail
+// before the lease expires.
 constexpr auto kRenewInterval = 2s;
 constexpr int kRenewalsPerTtl = 6;
-// Pause after a failed renewal.
+// Delay before a failed renewal is repeated.
 constexpr auto kRenewRetryInterval = 300ms;
+// Interval of the check whether the process was paused.
 constexpr auto kPauseCheckInterval = 250ms;
-// A process that was paused for longer may be suspected by its peers: it renews before it acts
-// again. Shorter than the timeout after which a majority forces a failover.
+// After a longer pause the lease counts as expired until the next renewal, because the peers may
+// suspect this node by then. Shorter than the timeout after which a majority forces a failover.
 constexpr auto kMaxPause = 3s;
 
 }  // namespace
@@ -53,10 +55,10 @@
   renew();
 }
 
-// The record is read before the store lease is renewed, and the validity is counted from before
-// both. A claim by another node comes after the last read that showed this token, so this lease
-// expires within the ttl of any such claim, although the store lease itself may be renewed for
-// longer.
+// Reads the record, then renews the store lease. The validity is counted from before both requests.
+// Another node's claim is executed after the last read that found this node's token. This lease
+// therefore expires within one ttl after the claim, although the store lease itself may be renewed
+// for longer.
 void Renewer::renew() {
   const auto sent_at = runtime_.now();
   store_.get_now(options_.key, renewal_.begin([this, sent_at](const store::ReadResult& result) {
@@ -76,7 +78,7 @@
 
 void Renewer::renew_store_lease(TimePoint sent_at) {
   store_.renew_store_lease(store_lease_,
-                           renewal_.join([this, sent_at](store::StoreLeaseOutcome outcome) {
+                           renewal_.wrap([this, sent_at](store::StoreLeaseOutcome outcome) {
                              switch (outcome) {
                                case store::StoreLeaseOutcome::Gone:
                                  lose();
@@ -104,11 +106,11 @@
   if (!lease_valid()) {
     log::debug("lease {}: expired, its store lease has not been renewed", options_.key);
   }
-  runtime_.after(delay, renewal_.join([this] { renew(); }));
+  runtime_.after(delay, renewal_.wrap([this] { renew(); }));
 }
 
-// A process may be paused and find its timers and sockets as it left them. Only the state service
-// tells what its peers have done meanwhile.
+// A process that was paused finds its timers and sockets unchanged when it resumes. Only the state
+// service shows what its peers have done in the meantime.
 void Renewer::check_for_pause() {
   const auto now = runtime_.now();
   const bool paused = now - last_pause_check_ > kMaxPause;
@@ -130,8 +132,8 @@
 
 void Renewer::step_down() {
   log::info("lease {}: stepping down from token {}", options_.key, token_);
-  // The record tells that a previous holder's lease may be valid. It would vanish with the store
-  // lease.
+  // Revoking the store lease deletes the record. Until the previous holders' leases have expired,
+  // the record is kept, because it tells the next claim that they may be valid.
   if (runtime_.now() >= previous_holders_.expiry()) store_.revoke_store_lease(store_lease_);
   lose();
 }
--- a/src/lease/renewer.hpp
+++ b/src/lease/renewer.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Renewal of a held lease, and its validity.
+/// Renewal and validity of a held lease. Owned by Lease.
 
 #include <cstdint>
 #include <functional>
@@ -13,34 +13,36 @@
 
 namespace asterstair::lease {
 
-/// Keeps a held lease: renews it, decides whether it is valid, and notices that it is lost.
+/// Renews a held lease, decides whether it is valid, and detects its loss.
 ///
-/// *Where the expiry of a lease is decided:* lease_valid() compares this node's steady clock with
-/// the end of the store lease, which is counted from before the last successful renewal was sent
-/// and shortened by the clocks' drift and a margin. Nothing else decides it. *What follows:* an
-/// expired lease stays held. Its holder does nothing under its token (it answers no heartbeat, and
-/// writes and rents nothing) until a renewal succeeds, which makes the lease valid again. The lease
-/// is lost, and `on_lost` called, only when a renewal shows that another node has claimed the
-/// record, that the record or its store lease is gone, or when the owner calls lose(), withdraw()
-/// or step_down().
+/// Validity: lease_valid() alone decides whether the lease has expired. It compares this node's
+/// steady clock with the end of the store lease. That end is counted from before the last
+/// successful renewal was sent, and shortened by the clock drift and a margin. The lease also
+/// counts as expired after a pause of the process, until the next renewal.
 ///
-/// Owned and called by Lease.
+/// Expiry: an expired lease is still held. Its holder does nothing under its token (it answers no
+/// heartbeats, writes nothing and rents nothing) until a renewal succeeds, which makes the lease
+/// valid again.
+///
+/// Loss: the lease is lost, and `on_lost` is called, only when a renewal shows that another node
+/// has claimed the record or that the record or its store lease no longer exists, or when the owner
+/// calls lose(), withdraw() or step_down().
 class Renewer {
  public:
-  /// `options` has to outlive the renewer. `on_lost` runs once for each term, after the token has
-  /// been forgotten.
+  /// `options` must outlive the renewer. `on_lost` runs once at the end of each term, after the
+  /// token has been cleared.
   Renewer(Runtime& runtime, store::Store& store, const Options& options,
           std::function<void()> on_lost);
 
-  /// The lease has been acquired: it is held from now on.
+  /// The lease has been acquired, and is held from now on.
   void begin_term(const AcquiredClaim& claim);
   /// Starts the periodic renewal. Called once, after begin_term().
   void start();
 
-  /// Gives the lease up and revokes its store lease. Requires held().
+  /// Releases the lease and revokes its store lease. Requires held().
   void withdraw();
-  /// Gives the lease up for good. Keeps the record while a previous holder's lease may be valid,
-  /// because the record tells the next claim so. Requires held().
+  /// Releases the lease. Keeps the record, instead of revoking the store lease, while a previous
+  /// holder's lease may be valid, because the record tells the next claim so. Requires held().
   void step_down();
   /// Ends the term without a request to the state service. Requires held().
   void lose();
@@ -51,8 +53,8 @@
   bool lease_valid() const;
   /// Fencing token of the term; 0 while the lease is not held.
   std::uint64_t token() const { return token_; }
-  /// Until when, at the latest, a previous holder's lease may be valid. Of the last term, if the
-  /// lease is not held.
+  /// When all previous holders' leases have expired at the latest. Of the last term if the lease is
+  /// not held.
   TimePoint previous_holders_expiry() const { return previous_holders_.expiry(); }
 
  private:
@@ -68,8 +70,8 @@
   store::Store& store_;
   const Options& options_;
   std::function<void()> on_lost_;
-  CallbackGuard renewal_;      // the one renewal under way, or the timer to the next
-  CallbackGuard pause_check_;  // its timer
+  CallbackGuard renewal_;      // the renewal in progress, or the timer of the next one
+  CallbackGuard pause_check_;  // the timer of the next pause check
   PreviousHolders previous_holders_;
   std::uint64_t token_ = 0;
   std::uint64_t store_lease_ = 0;
