--- a/src/provisioning/admin_commands.cpp
+++ b/src/provisioning/admin_commands.cpp
@@ -13,9 +13,8 @@
 constexpr const char* kNoAnswer = "the state service does not answer";
 constexpr const char* kNoHolder = "nobody holds the provisioning lease";
 
-// Returns the item with exactly this key: a list by prefix may hold others. nullptr if it is
-// absent.
-const wire::Item* find(const std::vector<wire::Item>& items, const std::string& key) {
+// Returns the item with exactly this key, or nullptr. A list by prefix may contain other keys.
+const wire::Item* find_item(const std::vector<wire::Item>& items, const std::string& key) {
   const auto it =
       std::find_if(items.begin(), items.end(), [&](const auto& item) { return item.key == key; });
   return it == items.end() ? nullptr : &*it;
@@ -52,7 +51,7 @@
   return fmt::format("{} cannot be read: {}", key, error.what());
 }
 
-// Returns the text that `describe` makes of the record, or the error if it cannot be decoded.
+// Returns the text from `describe`, or the error's text if it throws wire::DecodeError.
 template <typename Describe>
 std::string description_or_error(const std::string& key, Describe describe) {
   try {
@@ -66,13 +65,13 @@
 
 void AdminCommands::read(const std::function<void(bool ok, const Snapshot&)>& done) {
   auto snapshot = std::make_shared<Snapshot>();
-  auto lists_left = std::make_shared<int>(4);
+  auto pending_lists = std::make_shared<int>(4);
   auto ok = std::make_shared<bool>(true);
   const auto list = [&](const char* prefix, std::vector<wire::Item> Snapshot::*part) {
-    store_.list(prefix, [snapshot, lists_left, ok, part, done](const store::ListResult& result) {
+    store_.list(prefix, [snapshot, pending_lists, ok, part, done](const store::ListResult& result) {
       *ok = *ok && result.ok;
       (*snapshot).*part = result.items;
-      if (--*lists_left == 0) done(*ok, *snapshot);
+      if (--*pending_lists == 0) done(*ok, *snapshot);
     });
   };
   list(kLeaseKey, &Snapshot::lease);
@@ -94,13 +93,13 @@
 std::vector<std::string> AdminCommands::describe(const Snapshot& snapshot) {
   std::vector<std::string> lines;
   lines.push_back(description_or_error(
-      kLeaseKey, [&] { return describe_holder(find(snapshot.lease, kLeaseKey)); }));
+      kLeaseKey, [&] { return describe_holder(find_item(snapshot.lease, kLeaseKey)); }));
   lines.push_back(description_or_error(
-      kControlKey, [&] { return describe_control(find(snapshot.control, kControlKey)); }));
+      kControlKey, [&] { return describe_control(find_item(snapshot.control, kControlKey)); }));
   for (const auto& item : snapshot.operations) {
     lines.push_back(description_or_error(item.key, [&] { return describe_operation(item); }));
   }
-  if (const auto* item = find(snapshot.orphans, kOrphansKey)) {
+  if (const auto* item = find_item(snapshot.orphans, kOrphansKey)) {
     lines.push_back(description_or_error(item->key, [&] { return describe_orphans(*item); }));
   }
   return lines;
@@ -118,25 +117,25 @@
   });
 }
 
-// Replaces a control record that cannot be decoded: the holder stays paused while there is one.
+// Also replaces a control record that cannot be decoded, which would keep the holder paused.
 void AdminCommands::pause(bool paused, const Done& done) {
   read([this, paused, done](bool ok, const Snapshot& snapshot) {
     if (!ok) {
       done(false, {kNoAnswer});
       return;
     }
-    write_control({paused, 0}, version_of(find(snapshot.control, kControlKey)), done);
+    write_control({paused, 0}, version_of(find_item(snapshot.control, kControlKey)), done);
   });
 }
 
 void AdminCommands::hand_over(const Done& done) {
   read([this, done](bool ok, const Snapshot& snapshot) {
-    const auto* lease = find(snapshot.lease, kLeaseKey);
+    const auto* lease = find_item(snapshot.lease, kLeaseKey);
     if (!ok || lease == nullptr) {
       done(false, {ok ? kNoHolder : kNoAnswer});
       return;
     }
-    const auto* item = find(snapshot.control, kControlKey);
+    const auto* item = find_item(snapshot.control, kControlKey);
     ControlRecord control;
     try {
       if (item != nullptr) control = decode_control(*item->value);
--- a/src/provisioning/admin_commands.hpp
+++ b/src/provisioning/admin_commands.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Admin commands on provisioning. They read and write the state service directly, so they work
-/// whatever state the nodes are in. Used by main().
+/// Admin commands for provisioning. They read and write the state service directly, so they do not
+/// depend on the state of the nodes. Used by main().
 
 #include <functional>
 #include <string>
@@ -15,7 +15,8 @@
 /// Runs one admin command at a time. Must outlive the callbacks.
 class AdminCommands {
  public:
-  /// Receives the lines to print. `ok` is false if the state service did not answer or refused.
+  /// Receives the lines to print. `ok` is false if the command failed, for example because the
+  /// state service refused it or did not answer.
   using Done = std::function<void(bool ok, const std::vector<std::string>& lines)>;
 
   /// Reads and writes through `store`, which must outlive the commands.
@@ -26,11 +27,11 @@
   void show(const Done& done);
   /// Pauses provisioning, or resumes it if `paused` is false.
   void pause(bool paused, const Done& done);
-  /// Requests that the present holder gives the provisioning lease to another node.
+  /// Requests that the current holder hands the provisioning lease over to another node.
   void hand_over(const Done& done);
 
  private:
-  /// The records of all keys that begin with the key or prefix of each kind.
+  /// For each kind of record, all items whose keys begin with its key or prefix.
   struct Snapshot {
     std::vector<wire::Item> lease, control, operations, orphans;
   };
--- a/src/provisioning/admin_control.cpp
+++ b/src/provisioning/admin_control.cpp
@@ -5,14 +5,15 @@
 namespace asterstair::provisioning {
 namespace {
 
-// Administrators wait this long for a request to take effect.
+// Interval between reads of the control record. A request takes effect within about this time.
 constexpr Duration kPollInterval = 5s;
-// Provisioning is paused until the first answer, so an unavailable store is asked again sooner.
+// Delay of the next read when the state service is unavailable. It is shorter, because provisioning
+// is paused until the first answer.
 constexpr Duration kUnavailableRetryDelay = 1s;
 
 }  // namespace
 
-void AdminControl::follow(std::uint64_t token) {
+void AdminControl::start(std::uint64_t token) {
   control_ = {};
   control_.paused = true;
   poll(token);
--- a/src/provisioning/admin_control.hpp
+++ b/src/provisioning/admin_control.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Follows what an administrator has requested of provisioning. Owned by ProvisioningController.
+/// Applies administrators' requests to provisioning. Owned by ProvisioningController.
 
 #include <cstdint>
 #include <functional>
@@ -15,21 +15,22 @@
 /// Polls the control record while this node holds the provisioning lease, and applies it.
 class AdminControl {
  public:
-  /// `hand_over` is called when the record asks the present holder to give its lease away.
+  /// `hand_over` is called when the record requests that the current holder hands its lease over.
   AdminControl(Runtime& runtime, store::Store& store, const lease::Lease& lease,
                std::function<void()> hand_over)
       : runtime_(runtime), store_(store), lease_(lease), hand_over_(std::move(hand_over)) {}
 
-  /// Begins to poll, until the lease is lost or has another token. Called when it is acquired.
-  void follow(std::uint64_t token);
+  /// Polls until the lease is lost or has another token. Called when the lease is acquired.
+  void start(std::uint64_t token);
 
-  /// Whether no operation may begin. True until the record has been read under the present token.
+  /// Whether provisioning is paused: no operation may begin. True until the record has been read
+  /// under the current token.
   bool paused() const { return control_.paused; }
 
  private:
   void poll(std::uint64_t token);
   bool holds(std::uint64_t token) const;
-  /// Returns what the record says. A malformed one pauses: the request cannot be known.
+  /// Decodes the record. A malformed record pauses provisioning, because the request is unknown.
   ControlRecord decode(const store::ReadResult& result);
   void apply(const ControlRecord& control);
 
--- a/src/provisioning/name_table.hpp
+++ b/src/provisioning/name_table.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Look-up between enum values and the names that stored records use for them.
+/// Conversion between enum values and their names in stored records.
 
 #include <array>
 #include <optional>
@@ -13,7 +13,7 @@
 template <typename Enum, std::size_t Size>
 using NameTable = std::array<std::pair<Enum, std::string_view>, Size>;
 
-/// Returns the name of `value`, or an empty string if the table lacks it.
+/// Returns the name of `value`, or an empty string if the table does not contain it.
 template <typename Enum, std::size_t Size>
 std::string_view name_of(const NameTable<Enum, Size>& table, Enum value) {
   for (const auto& [candidate, name] : table) {
@@ -22,7 +22,7 @@
   return "";
 }
 
-/// Returns the value called `name`, or nothing if no value is.
+/// Returns the value with this name, or nothing if there is none.
 template <typename Enum, std::size_t Size>
 std::optional<Enum> value_of(const NameTable<Enum, Size>& table, std::string_view name) {
   for (const auto& [value, candidate] : table) {
--- a/src/provisioning/operation.hpp
+++ b/src/provisioning/operation.hpp
@@ -14,7 +14,7 @@
 
 namespace asterstair::provisioning {
 
-/// What an operation asks of the cloud.
+/// What an operation requests from the cloud.
 enum class OperationKind {
   Rent,   ///< rent machines
   Return  ///< return machines, with everything on them
@@ -22,11 +22,11 @@
 
 /// State of an operation. Pending is the write-ahead state; see is_valid_transition().
 enum class OperationState {
-  Pending,    ///< Durable, without a known result. The cloud may or may not have been asked.
-  Granted,    ///< Rent: the cloud has named the machines.
+  Pending,    ///< Durable, without a known result. The cloud may have received the request or not.
+  Granted,    ///< Rent: the cloud has answered with the ids of the granted machines.
   Refused,    ///< Rent: the cloud has no capacity. Final.
-  Withdrawn,  ///< Rent: certainly not executed, and no longer wanted. Final.
-  Confirmed,  ///< Return: the machines and everything on them are gone.
+  Withdrawn,  ///< Rent: certainly not executed, and not to be repeated. Final.
+  Confirmed,  ///< Return: the machines are terminated, and everything on them is deleted.
   Settled     ///< Final. The record only makes a delayed write of the Pending record fail.
 };
 
@@ -40,15 +40,15 @@
 enum class ReturnReason {
   Idle,          ///< not needed, and known to be empty
   Faulty,        ///< tasks fail on it; drained first
-  Unreachable,   ///< its heartbeats arrive, but it has not received answers for a long time
+  Unreachable,   ///< it sends heartbeats, but has not received responses for a long time
   LeaseExpired,  ///< its lease expired long ago
-  FailedBoot,    ///< exceeded its boot timeout
+  FailedBoot,    ///< it exceeded its boot timeout
   Stopped,       ///< the cloud lists it as failed
-  Unlisted       ///< a new leader waits for it, and it neither sends heartbeats nor is listed
+  Unlisted       ///< a new leader expects it, but it neither sends heartbeats nor is listed
 };
 
-/// Whether a return for this reason deliberately gives up tasks that the machine may hold. All
-/// other returns are of machines that are known to be empty.
+/// Whether a return for this reason deliberately loses tasks that the machine may have. Machines
+/// that are returned for another reason are known to be empty.
 bool gives_up_work(ReturnReason reason);
 
 /// A request for machines of one type, zone and price class.
@@ -64,12 +64,12 @@
 /// Machines to return, each with the reason.
 using Returns = std::map<std::string, ReturnReason>;
 
-/// One request to the cloud, as the operation log stores it.
+/// One request to the cloud with its state, as the operation log stores it.
 struct Operation {
-  std::string name;  ///< Unique for ever, over all nodes. The cloud deduplicates rentals by it.
-  /// Whether it rents or returns.
+  std::string name;  ///< Unique over all nodes and terms. The cloud deduplicates rentals by it.
+  /// Whether it rents or returns machines.
   OperationKind kind = OperationKind::Rent;
-  /// How far it has come.
+  /// Its progress.
   OperationState state = OperationState::Pending;
   std::uint64_t token = 0;            ///< fencing token under which it began
   std::string holder;                 ///< node that began it
@@ -81,21 +81,21 @@
   bool operator==(const Operation&) const = default;
 };
 
-/// Names used in stored records, log lines and the output of admin commands.
+/// Returns the kind's name in stored records, log lines and the output of admin commands.
 std::string_view to_string(OperationKind kind);
-/// The state's word in records.
+/// Returns the state's name in the same places.
 std::string_view to_string(OperationState state);
-/// The reason's word in records.
+/// Returns the reason's name in the same places.
 std::string_view to_string(ReturnReason reason);
 
 /// Inverse of to_string(); nothing if the name is unknown.
 std::optional<OperationKind> parse_operation_kind(std::string_view name);
-/// The state with this word; none if there is none.
+/// Returns the state with this name; nothing if the name is unknown.
 std::optional<OperationState> parse_operation_state(std::string_view name);
-/// The reason with this word; none if there is none.
+/// Returns the reason with this name; nothing if the name is unknown.
 std::optional<ReturnReason> parse_return_reason(std::string_view name);
 
-/// Describes what the operation asks for, for log lines and admin commands: "rent 3 of spot c16 in
+/// Describes what the operation requests, for log lines and admin commands: "rent 3 of spot c16 in
 /// north, granted 2" or "return n-1 (idle), n-2 (faulty)".
 std::string describe(const Operation& operation);
 
--- a/src/provisioning/operation_log.hpp
+++ b/src/provisioning/operation_log.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Interface of the operation log: operations are durable before the cloud is asked, and their
-/// results afterwards. Used by OperationRunner.
+/// Interface of the write-ahead log of operations. An operation is durable before its request is
+/// sent to the cloud, and its result is stored afterwards. Used by OperationRunner.
 
 #include <functional>
 #include <memory>
@@ -14,15 +14,16 @@
 
 /// Result of OperationLog::append().
 enum class AppendOutcome {
-  Durable,  ///< the Pending record is durable: the cloud may be asked
-  Dropped   ///< the record is not stored, and never will be: the name is free
+  Durable,  ///< the Pending record is durable: the request may be sent to the cloud
+  Dropped   ///< the record is not stored, and never will be: the name is unused
 };
 
 /// Write-ahead log of operations on machines.
 class OperationLog {
  public:
   virtual ~OperationLog() = default;
-  /// Reads the operations that earlier leaders left. Calls back once, as soon as they are known.
+  /// Reads the operations that earlier leaders have stored. Calls back once, when they have been
+  /// read.
   virtual void load(std::function<void(std::vector<Operation>)> done) = 0;
   /// Whether one more operation may be appended.
   virtual bool has_room() const = 0;
@@ -34,7 +35,8 @@
   virtual void remove(const std::string& name) = 0;
 };
 
-/// Stores nothing. Without durable provisioning the operations end with the term of their leader.
+/// Operation log that stores nothing, used without durable provisioning: operations then end with
+/// the term of their leader.
 class TransientOperationLog : public OperationLog {
  public:
   void load(std::function<void(std::vector<Operation>)> done) override { done({}); }
--- a/src/provisioning/operation_runner.cpp
+++ b/src/provisioning/operation_runner.cpp
@@ -7,14 +7,15 @@
 namespace asterstair::provisioning {
 namespace {
 
-// Delay of a request while the lease is not valid or the cloud's rate limit is used up.
+// Delay before the next attempt to send while the lease is not valid or the cloud's rate limit is
+// reached.
 constexpr auto kSendRetryDelay = 500ms;
-// Delay of the next request for a rental, or for a return, that the cloud has not answered.
+// Delay before the request of a rental, or of a return, that has no result yet is sent again.
 constexpr auto kRentalRetryDelay = 2s;
 constexpr auto kReturnRetryDelay = 1s;
-// Records of confirmed returns are kept for as long as the cloud's lists may show the machines, as
-// multiples of the list lag and a fixed margin. A new leader would take them for orphaned
-// instances.
+// The record of a confirmed return is kept for as long as the cloud's lists may still show the
+// machines: a multiple of the list lag, plus a margin. Without the record, a new leader would take
+// such machines for orphaned instances.
 constexpr int kConfirmedReturnListLags = 3;
 constexpr auto kConfirmedReturnMargin = 60s;
 
@@ -44,7 +45,7 @@
   for (const auto& operation : operations) recover(operation);
 }
 
-// Resumes an operation of an earlier leader, or reports its result.
+// Resumes an operation that an earlier leader began, or reports its result.
 void OperationRunner::recover(const Operation& operation) {
   if (operation.kind == OperationKind::Return) events_.on_inherited_return(operation);
   if (operation.state == OperationState::Pending) {
@@ -74,10 +75,10 @@
                      [](const auto& entry) { return entry.second.kind == OperationKind::Return; });
 }
 
-// The fencing token and a counter make the name unique over all nodes.
+// The fencing token and a counter make the name unique over all nodes and terms.
 std::string OperationRunner::next_name(char prefix) {
   return std::string(1, prefix) + "-" + std::to_string(authority_.token()) + "-" +
-         std::to_string(++begun_);
+         std::to_string(++begun_count_);
 }
 
 void OperationRunner::rent(const Rental& rental) {
@@ -121,8 +122,9 @@
 void OperationRunner::send(const std::string& name, CallBudget budget) {
   const auto it = pending_.find(name);
   if (it == pending_.end()) return;
-  // A replaced leader sends no requests. If it does not know yet, or its packet arrives late, the
-  // request does no harm: the operation log has it, and the successor repeats it under this name.
+  // A leader that has been replaced sends no requests. If it does not know that yet, or its packet
+  // arrives late, the request does no harm: the operation is in the operation log, and the
+  // successor repeats the request under the same name.
   if (!authority_.lease_valid() || (budget == CallBudget::NotTaken && !cloud_.may_call())) {
     send_later(name, kSendRetryDelay);
     return;
@@ -145,7 +147,7 @@
 void OperationRunner::send_rental(const Operation& operation) {
   const Rental& rental = operation.rental;
   wire::RentalRequest request{operation.name, rental.type, rental.zone, rental.spot, rental.count};
-  if (authority_.offers_token()) request.token = authority_.token();
+  if (authority_.sends_fencing_token()) request.token = authority_.token();
   cloud_.rent_machines(
       request, while_running([name = operation.name](OperationRunner& self,
                                                      const cloud::Cloud::RentResult& result) {
@@ -187,8 +189,8 @@
   events_.on_not_granted(refused);
 }
 
-// The cloud has not executed the latest request. If it cannot have executed an earlier one either,
-// the rental is withdrawn, so that the autoscaler decides anew.
+// The cloud has not executed the last request. If it cannot have executed an earlier one either,
+// the rental is withdrawn, so that the autoscaler decides again.
 void OperationRunner::withdraw_or_retry(const std::string& name) {
   if (maybe_executed_.count(name) != 0) {
     send_later(name, kRentalRetryDelay);
@@ -202,7 +204,7 @@
 void OperationRunner::send_return(const Operation& operation) {
   wire::ReturnOrder request;
   for (const auto& [machine, reason] : operation.returns) request.machines.push_back(machine);
-  if (authority_.offers_token()) {
+  if (authority_.sends_fencing_token()) {
     request.request = operation.name;
     request.token = authority_.token();
   }
@@ -225,7 +227,7 @@
   events_.on_returned(confirmed);
 }
 
-// Takes the operation off the Pending ones and returns it in its new state.
+// Removes the operation from the Pending ones and returns it in its new state.
 Operation OperationRunner::complete(const std::string& name, OperationState state) {
   const auto it = pending_.find(name);
   Operation out = std::move(it->second);
@@ -247,10 +249,10 @@
   if (it == unresolved_.end()) return;
   const std::string name = std::move(it->second);
   unresolved_.erase(it);
-  const bool others_left =
+  const bool others_unresolved =
       std::any_of(unresolved_.begin(), unresolved_.end(),
-                  [&](const auto& unresolved) { return unresolved.second == name; });
-  if (!others_left) operation_log_->remove(name);
+                  [&](const auto& entry) { return entry.second == name; });
+  if (!others_unresolved) operation_log_->remove(name);
 }
 
 void OperationRunner::remove_later(const std::string& name) {
@@ -259,7 +261,7 @@
       delay, while_running([name](OperationRunner& self) { self.operation_log_->remove(name); }));
 }
 
-// Administrators trace operations by these lines, see docs/operations/provisioning.md.
+// Administrators trace operations by these log lines, see docs/operations/provisioning.md.
 void OperationRunner::log_event(std::string_view event, const Operation& operation) {
   log::info("operation {} {}: {}", operation.name, event, describe(operation));
 }
--- a/src/provisioning/operation_runner.hpp
+++ b/src/provisioning/operation_runner.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Executes operations on machines for one term of leadership. Created by ProvisioningController,
-/// driven by the autoscaler.
+/// Executes operations on machines for one term of leadership. Created by ProvisioningController;
+/// used by the autoscaler.
 
 #include <functional>
 #include <map>
@@ -20,14 +20,15 @@
 namespace asterstair::provisioning {
 
 /// Appends each operation to the operation log, repeats its request to the cloud under the same
-/// name until the cloud answers, and stores the result. Operations that earlier leaders left
-/// Pending are completed first; no other operation begins before.
+/// name until the cloud answers, and stores the result. Pending operations of earlier leaders are
+/// completed before a new operation begins.
 class OperationRunner : public Stoppable<OperationRunner> {
  public:
-  /// Callbacks to the autoscaler. They report operations of earlier leaders like those of this
-  /// term.
+  /// Callbacks to the autoscaler. They report operations of earlier leaders as well as those of
+  /// this term.
   struct Events {
-    /// An earlier leader is returning, or has returned, these machines: they get no work.
+    /// An earlier leader has begun to return these machines, or has returned them: they get no
+    /// work.
     std::function<void(const Operation&)> on_inherited_return;
     /// A rental has state Granted.
     std::function<void(const Operation&)> on_granted;
@@ -47,29 +48,29 @@
 
   /// Whether an operation may begin now.
   bool may_begin() const;
-  /// Begins a rental. Uses one call of the cloud's rate limit; the caller has checked that there is
-  /// one, see cloud::Cloud::may_call().
+  /// Begins a rental. Takes one call from the cloud's rate limit; the caller has checked that one
+  /// is available, see cloud::Cloud::may_call().
   void rent(const Rental& rental);
-  /// Begins a return, with the same use of the rate limit.
+  /// Begins a return. Takes one call from the rate limit in the same way.
   void return_machines(const Returns& returns);
 
-  /// Operations without a result, by name.
+  /// Operations that have no result yet, by name.
   const std::map<std::string, Operation>& pending_operations() const { return pending_; }
-  /// Whether a return is without a result.
+  /// Whether any return has no result yet.
   bool has_pending_return() const;
-  /// Granted machines that are neither in the machine registry nor known to be gone, each with the
-  /// name of its operation. The operation log names them until then, so that the next leader learns
-  /// of them.
+  /// Granted machines that may exist and are not in the machine registry yet, each with the name of
+  /// its operation. The operation stays in the operation log, so that the next leader knows of
+  /// them.
   const std::map<std::string, std::string>& unresolved_machines() const { return unresolved_; }
-  /// Tells that the machine is in the machine registry or gone. Removes the operation's record once
-  /// all of its machines are resolved.
+  /// Reports that the machine is in the machine registry or no longer exists. Removes the
+  /// operation's record once all its machines are resolved.
   void resolve_machine(const std::string& machine);
 
  private:
-  /// Whether a request's call has been taken from the cloud's rate limit already.
+  /// Whether the call of a request has already been taken from the cloud's rate limit.
   enum class CallBudget {
-    Taken,    ///< by the caller
-    NotTaken  ///< counts when the request is sent
+    Taken,    ///< it was taken when the operation began
+    NotTaken  ///< it is taken when the request is sent
   };
 
   void on_log_loaded(const std::vector<Operation>& operations);
@@ -97,11 +98,11 @@
   const FencingAuthority& authority_;
   std::shared_ptr<OperationLog> operation_log_;
   Events events_;
-  bool recovered_ = false;   ///< the operation log has been read
-  std::uint64_t begun_ = 0;  ///< operations of this term, for their names
+  bool recovered_ = false;         ///< the operation log has been read
+  std::uint64_t begun_count_ = 0;  ///< operations begun in this term, for their names
   std::map<std::string, Operation> pending_;
-  std::set<std::string> inherited_;       ///< Pending ones that earlier leaders began
-  std::set<std::string> maybe_executed_;  ///< Pending rentals of which a request was not answered
+  std::set<std::string> inherited_;       ///< Pending operations that earlier leaders began
+  std::set<std::string> maybe_executed_;  ///< Pending operations that may have been executed
   std::map<std::string, std::string> unresolved_;
 };
 
--- a/src/provisioning/orphan_publisher.hpp
+++ b/src/provisioning/orphan_publisher.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Writes the orphaned instances for administrators. Owned by ProvisioningController.
+/// Publishes the orphaned instances to administrators. Owned by ProvisioningController.
 
 #include <vector>
 
@@ -10,15 +10,14 @@
 
 namespace asterstair::provisioning {
 
-/// Keeps the orphans record in the state service equal to the last list that was published.
+/// Writes the list of orphaned instances to its record in the state service.
 class OrphanPublisher {
  public:
   /// Writes through `store` under the guards of `authority`. Both must outlive the callbacks.
   OrphanPublisher(store::Store& store, const FencingAuthority& authority)
       : store_(store), authority_(authority) {}
 
-  /// Writes the list if it differs from the last one written. A failed write is repeated by the
-  /// next call.
+  /// Writes the list if it differs from the last one written. The next call repeats a failed write.
   void publish(const std::vector<OrphanedInstance>& orphans);
 
  private:
--- a/src/provisioning/provisioning_controller.cpp
+++ b/src/provisioning/provisioning_controller.cpp
@@ -10,10 +10,10 @@
   out.key = kLeaseKey;
   out.node = settings.node;
   out.ttl = leader_ttl(settings);
-  // Everything that the previous holder may still do is in the operation log, so waiting for its
-  // lease to expire gains nothing.
+  // Everything that the previous holder may still do is in the operation log, so there is no need
+  // to wait until its lease has expired.
   out.contention_policy = lease::ContentionPolicy::TakeOver;
-  // A former leader that does not know of its successor must not take the lease back.
+  // A former leader that does not know of its successor yet must not claim the lease back.
   out.claim_conditions = [&election] { return std::vector{election.guard()}; };
   return out;
 }
@@ -76,7 +76,7 @@
 
 void ProvisioningController::on_lease_acquired(std::uint64_t token) {
   log::info("provisioning lease is held with token {}", token);
-  admin_control_->follow(token);
+  admin_control_->start(token);
 }
 
 void ProvisioningController::publish_orphans(const std::vector<OrphanedInstance>& orphans) {
--- a/src/provisioning/provisioning_controller.hpp
+++ b/src/provisioning/provisioning_controller.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Decides which node provisions machines: the leader, under a lease of its own. Owned by Node.
+/// Decides which node provisions machines: the leader, under the provisioning lease. Owned by Node.
 
 #include <functional>
 #include <memory>
@@ -21,20 +21,20 @@
 
 namespace asterstair::provisioning {
 
-/// Campaigns for the provisioning lease while this node leads, and makes the operation runner of
-/// each term.
+/// Campaigns for the provisioning lease while this node is the leader, and creates the operation
+/// runner of each term.
 class ProvisioningController : public FencingAuthority {
  public:
-  /// `durable` selects a lease and an operation log of their own. Without it the leader provisions
-  /// under the leader lease, and nothing is stored. `hand_over` is called when an administrator
-  /// requests that another node takes over.
+  /// `durable` selects a separate provisioning lease and a stored operation log. Without it the
+  /// leader provisions under the leader's lease, and nothing is stored. `hand_over` is called when
+  /// an administrator requests that another node takes over.
   ProvisioningController(Runtime& runtime, store::Store& store, cloud::Cloud& cloud,
                          const Settings& settings, const leader::Election& election, bool durable,
                          std::function<void()> hand_over);
 
-  /// Begins a term of leadership. Returns its operations, which the caller starts.
+  /// Begins a term of leadership. Returns the term's operation runner, which the caller starts.
   std::shared_ptr<OperationRunner> begin_term();
-  /// Ends the term: stops its operations and gives the lease up. Harmless without a term.
+  /// Ends the term: stops its operations and releases the lease. Does nothing without a term.
   void end_term();
 
   /// Publishes the orphaned instances for administrators, if provisioning is durable.
@@ -43,7 +43,7 @@
   bool lease_valid() const override;
   bool paused() const override { return admin_control_ && admin_control_->paused(); }
   std::uint64_t token() const override { return lease_ ? lease_->token() : election_.token(); }
-  bool offers_token() const override { return lease_.has_value(); }
+  bool sends_fencing_token() const override { return lease_.has_value(); }
   std::vector<wire::Condition> guards() const override;
   void renew_token() override;
 
@@ -57,7 +57,7 @@
   const Settings& settings_;
   const leader::Election& election_;
   std::optional<lease::Lease> lease_;          ///< only if provisioning is durable
-  std::optional<AdminControl> admin_control_;  ///< the same
+  std::optional<AdminControl> admin_control_;  ///< only if provisioning is durable
   OrphanPublisher orphan_publisher_;
   std::shared_ptr<StoredOperationLog> stored_log_;  ///< of this term, if provisioning is durable
   std::shared_ptr<OperationRunner> operations_;     ///< of this term
--- a/src/provisioning/records.cpp
+++ b/src/provisioning/records.cpp
@@ -22,7 +22,7 @@
 }
 
 void require_object(const Json& value) {
-  if (!value.is_object()) throw DecodeError("an object is needed");
+  if (!value.is_object()) throw DecodeError("the record is not an object");
 }
 
 std::uint64_t to_ms(WallTime time) {
@@ -30,16 +30,17 @@
   return ms < 0 ? 0 : static_cast<std::uint64_t>(ms);
 }
 
-// Milliseconds since 1970: some 280 years. WallTime holds it without overflow.
-constexpr std::uint64_t kLatestMs = 1ULL << 43U;
+// Maximum of a time in a record, in milliseconds since 1970: about 280 years. WallTime represents
+// it without overflow.
+constexpr std::uint64_t kMaxTimeMs = 1ULL << 43U;
 
 WallTime decode_time(const Json& object, const char* key) {
   const auto ms = wire::integer(object, key);
-  if (ms > kLatestMs) throw DecodeError(std::string(key) + " is out of range");
+  if (ms > kMaxTimeMs) throw DecodeError(std::string(key) + " is out of range");
   return WallTime(milliseconds(ms));
 }
 
-// Decodes a field whose values are names, by the look-up that `parse` makes.
+// Decodes a field whose value is the name of an enum value. `parse` returns the enum value.
 template <typename Parse>
 auto decode_name(Parse parse, const Json& object, const char* key) {
   const auto& name = wire::text(object, key);
@@ -50,7 +51,7 @@
 
 std::string decode_machine(const Json& value) {
   if (!value.is_string() || value.get_ref<const std::string&>().empty()) {
-    throw DecodeError("a machine's name is needed");
+    throw DecodeError("a machine's name must be a non-empty string");
   }
   return value.get<std::string>();
 }
@@ -67,13 +68,13 @@
 
 Returns decode_returns(const Json& value) {
   const Json& machines = wire::member(value, "machines");
-  if (!machines.is_object()) throw DecodeError("machines must name the reasons");
+  if (!machines.is_object()) throw DecodeError("machines is not an object of names and reasons");
   if (machines.empty() || machines.size() > wire::kMostReturned) {
-    throw DecodeError("machines are none or too many");
+    throw DecodeError("machines is empty or has too many entries");
   }
   Returns out;
   for (const auto& [machine, reason] : machines.items()) {
-    if (machine.empty()) throw DecodeError("a machine's name is needed");
+    if (machine.empty()) throw DecodeError("a machine's name is empty");
     out[machine] = decode_name(parse_return_reason, machines, machine.c_str());
   }
   return out;
@@ -109,16 +110,16 @@
   require_object(value);
   store::require_known_format(value);
   if (!key.starts_with(kOperationPrefix) || operation_name(key).empty()) {
-    throw DecodeError("no name");
+    throw DecodeError("the key has no operation name");
   }
   Operation out;
   out.name = operation_name(key);
   out.kind = decode_name(parse_operation_kind, value, "kind");
   out.state = decode_name(parse_operation_state, value, "state");
-  const bool of_any_kind =
+  const bool valid_for_any_kind =
       out.state == OperationState::Pending || out.state == OperationState::Settled;
-  if (!of_any_kind && !is_valid_transition(out.kind, OperationState::Pending, out.state)) {
-    throw DecodeError("state is not one of this kind");
+  if (!valid_for_any_kind && !is_valid_transition(out.kind, OperationState::Pending, out.state)) {
+    throw DecodeError("state is not valid for this kind of operation");
   }
   out.token = wire::integer(value, "token");
   out.holder = wire::text(value, "holder");
--- a/src/provisioning/records.hpp
+++ b/src/provisioning/records.hpp
@@ -3,11 +3,11 @@
 /// Encoding of the provisioning records in the state service:
 ///
 ///   duty/machines             the provisioning lease; the key's version is the fencing token
-///   ledger/machines/NAME    one operation of the operation log
+///   ledger/machines/NAME      one operation of the operation log
 ///   orphans/machines          orphaned instances, for administrators
-///   control/machines          what an administrator has requested: pause, handover
+///   control/machines          administrators' requests: pause, handover
 ///
-/// Decoding throws wire::DecodeError if a record is malformed or of a newer form.
+/// Decoding throws wire::DecodeError if a record is malformed or has a newer format.
 
 #include <string>
 #include <vector>
@@ -17,13 +17,14 @@
 
 namespace asterstair::provisioning {
 
-/// Keys, see above. Stored data depends on them.
+/// Key of the provisioning lease. Running clusters have stored records under this key and the keys
+/// below, so they must not change.
 inline constexpr const char* kLeaseKey = "duty/machines";
-/// Prefix of the keys of operations.
+/// Prefix of the keys of operations; the operation's name follows.
 inline constexpr const char* kOperationPrefix = "ledger/machines/";
-/// Key of the published orphans.
+/// Key of the record of orphaned instances.
 inline constexpr const char* kOrphansKey = "orphans/machines";
-/// Key of what administrators have requested.
+/// Key of the record of administrators' requests.
 inline constexpr const char* kControlKey = "control/machines";
 
 /// Returns the key of the operation's record.
@@ -36,10 +37,10 @@
 /// Decodes a record; the operation's name comes from the key.
 Operation decode_operation(const std::string& key, const wire::Json& value);
 
-/// What an administrator has requested. Written by AdminCommands, read by AdminControl.
+/// Administrators' requests. Written by AdminCommands, read by AdminControl.
 struct ControlRecord {
-  bool paused = false;  ///< no operation begins; Pending ones are completed
-  /// The holder of this fencing token gives the provisioning lease to another node; 0: none.
+  bool paused = false;  ///< no operation begins; Pending operations are completed
+  /// The holder of this fencing token hands the provisioning lease over; 0: no such request.
   std::uint64_t hand_over_from = 0;
 };
 /// Encodes the value of kControlKey.
@@ -50,21 +51,21 @@
 /// A machine that the cloud lists but neither the operation log nor the leader knows, or one that
 /// was granted and never listed.
 struct OrphanedInstance {
-  /// What is known of the machine.
+  /// State of the machine, as far as it is known.
   enum class State {
-    Waiting,       ///< listed, and no heartbeat has come yet
+    Waiting,       ///< listed, but no heartbeat has been received yet
     InUse,         ///< its worker sends heartbeats
     Returned,      ///< returned to the cloud
-    Vanished,      ///< listed once, and no longer
-    NeverAppeared  ///< granted, and never listed
+    Vanished,      ///< was listed, but no longer is
+    NeverAppeared  ///< granted, but never listed
   };
   std::string machine;           ///< the machine's id
-  State state = State::Waiting;  ///< what has become of it
+  State state = State::Waiting;  ///< the machine's state
   WallTime since{};              ///< when the leader first noticed it
   /// Compares all members.
   bool operator==(const OrphanedInstance&) const = default;
 };
-/// Name of the state in the stored record, log lines and admin commands.
+/// Returns the state's name in the stored record, log lines and the output of admin commands.
 std::string_view to_string(OrphanedInstance::State state);
 /// Encodes the value of kOrphansKey.
 wire::Json encode_orphans(const std::vector<OrphanedInstance>& orphans);
--- a/src/provisioning/stored_operation_log.cpp
+++ b/src/provisioning/stored_operation_log.cpp
@@ -6,12 +6,13 @@
 namespace asterstair::provisioning {
 namespace {
 
-// Delay of another attempt after the state service failed to answer or refused.
+// Delay before a request is repeated after the state service refused it or did not answer.
 constexpr auto kRetryDelay = 500ms;
+// Interval between removals of Settled records.
 constexpr auto kSweepInterval = 60s;
-// With more Settled records than this a new token is requested, under which they can be removed: a
-// quarter of the room.
-constexpr std::ptrdiff_t kMostSettled = kMostRecords / 4;
+// Above this number of Settled records, a quarter of kMaxRecords, a new token is requested: Settled
+// records can be removed only under a later token.
+constexpr std::ptrdiff_t kMaxSettledRecords = kMaxRecords / 4;
 
 }  // namespace
 
@@ -41,7 +42,8 @@
   done(std::move(operations));
 }
 
-// Leaves records that cannot be decoded alone, for an administrator to look at.
+// Skips records that cannot be decoded. They stay stored, so that an administrator can inspect
+// them.
 std::vector<Operation> StoredOperationLog::decode(const std::vector<wire::Item>& items) {
   std::vector<Operation> out;
   for (const auto& item : items) {
@@ -68,7 +70,8 @@
   if (it == entries_.end()) return;
   Entry& entry = it->second;
   if (!is_valid_transition(operation.kind, entry.target.state, operation.state)) {
-    log::error("operation {} cannot become {}", operation.name, to_string(operation.state));
+    log::error("operation {}: invalid transition to state {}", operation.name,
+               to_string(operation.state));
     return;
   }
   entry.target = operation;
@@ -84,14 +87,15 @@
   write(name);
 }
 
-// Sends one write of a record at a time: the next one needs the version that this one creates.
+// Sends one write of a record at a time: the next write needs the version that this one creates.
 void StoredOperationLog::write(const std::string& name) {
   Entry& entry = entries_.at(name);
   if (entry.busy) return;
   entry.busy = true;
   entry.changed = false;
-  if (entry.remove && entry.append_unknown) entry.target.state = OperationState::Settled;
-  const auto kind = entry.remove && !entry.append_unknown ? WriteKind::Removal : WriteKind::Put;
+  if (entry.remove && entry.append_outcome_unknown) entry.target.state = OperationState::Settled;
+  const auto kind =
+      entry.remove && !entry.append_outcome_unknown ? WriteKind::Removal : WriteKind::Put;
   wire::Txn txn;
   txn.conditions = authority_.guards();
   txn.conditions.push_back({operation_key(name), entry.version});
@@ -133,11 +137,11 @@
       on_not_done(name);
       break;
     case store::WriteOutcome::Unknown:
-      if (entry.on_appended) entry.append_unknown = true;
+      if (entry.on_appended) entry.append_outcome_unknown = true;
       read_back(name);
       break;
     case store::WriteOutcome::Conflict:
-      // An earlier unanswered write was executed, or the guards do not hold any more.
+      // An earlier unanswered write was executed, or the guards no longer hold.
       read_back(name);
       break;
   }
@@ -156,7 +160,7 @@
 
 void StoredOperationLog::on_not_done(const std::string& name) {
   Entry& entry = entries_.at(name);
-  if (!entry.on_appended || entry.append_unknown) {
+  if (!entry.on_appended || entry.append_outcome_unknown) {
     retry_later(name, &StoredOperationLog::write);
     return;
   }
@@ -165,7 +169,7 @@
   on_appended(AppendOutcome::Dropped);
 }
 
-// Learns what the stored record is after a write with an unknown outcome or a conflict.
+// Reads the stored record after a write with an unknown outcome or a conflict.
 void StoredOperationLog::read_back(const std::string& name) {
   entries_.at(name).busy = true;
   store_.get(operation_key(name),
@@ -195,14 +199,14 @@
   if (entry.on_appended) {
     retry_later(name, &StoredOperationLog::write);
   } else {
-    entries_.erase(name);  // the removal was executed
+    entries_.erase(name);  // an earlier removal was executed
   }
 }
 
 void StoredOperationLog::on_found(const std::string& name, std::uint64_t version) {
   Entry& entry = entries_.at(name);
-  const bool was_appended_now = entry.on_appended && entry.version == 0;
-  if (was_appended_now) {
+  const bool append_was_executed = entry.on_appended && entry.version == 0;
+  if (append_was_executed) {
     on_put(name, version);
     return;
   }
@@ -214,8 +218,8 @@
   runtime_.after(kSweepInterval, while_running([](StoredOperationLog& self) { self.sweep(); }));
 }
 
-// Removes Settled records of earlier tokens: a late write of their Pending record fails on its
-// guards, so nothing needs the records any more.
+// Removes Settled records of earlier tokens. They are no longer needed, because a late write of the
+// Pending record fails on its guards.
 void StoredOperationLog::sweep() {
   sweep_later();
   if (!authority_.lease_valid()) return;
@@ -224,10 +228,10 @@
     if (entry.settled_token == 0) continue;
     ++settled;
     if (entry.settled_token == authority_.token()) continue;
-    entry.append_unknown = false;
+    entry.append_outcome_unknown = false;
     write(name);
   }
-  if (settled > kMostSettled) authority_.renew_token();
+  if (settled > kMaxSettledRecords) authority_.renew_token();
 }
 
 }  // namespace asterstair::provisioning
--- a/src/provisioning/stored_operation_log.hpp
+++ b/src/provisioning/stored_operation_log.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The operation log in the state service. Created by ProvisioningController for each term.
+/// Operation log in the state service. Created by ProvisioningController for each term.
 
 #include <map>
 #include <memory>
@@ -14,9 +14,9 @@
 
 namespace asterstair::provisioning {
 
-/// Most records at a time, Pending ones and those kept for a while. Bounds what a new leader has to
-/// read: a record has at most value_kb, and mostly some 300 bytes.
-inline constexpr std::size_t kMostRecords = 512;
+/// Maximum number of records, both Pending ones and those that are kept for some time. It bounds
+/// what a new leader has to read: a record has at most value_kb (a setting), typically 300 bytes.
+inline constexpr std::size_t kMaxRecords = 512;
 
 /// Stores one record for each operation. Every write is a compare-and-swap on the authority's
 /// guards and on the record's own version, so a write that is executed late overwrites nothing
@@ -28,28 +28,28 @@
       : runtime_(runtime), store_(store), authority_(authority) {}
 
   void load(std::function<void(std::vector<Operation>)> done) override;
-  bool has_room() const override { return entries_.size() < kMostRecords; }
+  bool has_room() const override { return entries_.size() < kMaxRecords; }
   void append(const Operation& operation, std::function<void(AppendOutcome)> done) override;
   void update(const Operation& operation) override;
   void remove(const std::string& name) override;
 
  private:
   struct Entry {
-    Operation target;           ///< what the record is to say
+    Operation target;           ///< desired content of the record
     bool remove = false;        ///< the record is to be removed
-    std::uint64_t version = 0;  ///< of the stored record; 0: none is known to exist
-    bool busy = false;          ///< a write is in progress, or a read of the record after one
+    std::uint64_t version = 0;  ///< version of the stored record; 0: not known to exist
+    bool busy = false;          ///< a write is in progress, or a read of the record after a write
     bool changed = false;       ///< `target` or `remove` changed after the last write was sent
-    /// A write of the Pending record was not answered, and may be executed later. While the token
-    /// lasts the record must stay: without it the late write would create the operation again.
-    bool append_unknown = false;
+    /// A write of the Pending record was not answered, and may be executed later. The record must
+    /// stay while the token is valid: without it the late write would create the operation again.
+    bool append_outcome_unknown = false;
     std::uint64_t settled_token = 0;  ///< token under which it became Settled; 0: not Settled
     std::function<void(AppendOutcome)> on_appended;  ///< empty once the outcome is known
   };
   /// What a write does to a record.
   enum class WriteKind {
-    Put,     ///< writes its state
-    Removal  ///< removes it
+    Put,     ///< writes the operation's state
+    Removal  ///< removes the record
   };
 
   void on_listed(const store::ListResult& result, std::function<void(std::vector<Operation>)> done);
