--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -1,4 +1,4 @@
-// The lease by itself, among several candidates.
+// Tests of a lease with several candidates, without the rest of the node.
 
 #include "lease/lease.hpp"
 
@@ -14,8 +14,9 @@
 
 using namespace sim;
 
-// Candidates that claim at the same time: one gets the lease, and all know who.
-TEST(Lease, GoesToOneOfSimultaneousCandidates) {
+// Several candidates claim the lease at the same time. Exactly one must acquire it, and all must
+// agree on the holder. After the holder has withdrawn, again exactly one must acquire it.
+TEST(Lease, IsAcquiredByOneOfSimultaneousCandidates) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Simulator simulator(seed);
     Network network(simulator);
@@ -32,19 +33,23 @@
             store(runtime, settings),
             lease(runtime, store, {"duty/test", settings.node, 10s}, {[](auto, bool) {}, [] {}}) {}
     };
-    std::vector<std::unique_ptr<Candidate>> all;
-    for (int i = 0; i < 3; ++i) all.push_back(std::make_unique<Candidate>(simulator, network, i));
-    for (auto& c : all) c->lease.campaign();
+    std::vector<std::unique_ptr<Candidate>> candidates;
+    for (int i = 0; i < 3; ++i)
+      candidates.push_back(std::make_unique<Candidate>(simulator, network, i));
+    for (auto& candidate : candidates) candidate->lease.campaign();
     simulator.run_until(3);
-    const auto held =
-        std::count_if(all.begin(), all.end(), [](auto& c) { return c->lease.held(); });
+    const auto held = std::count_if(candidates.begin(), candidates.end(),
+                                    [](auto& candidate) { return candidate->lease.held(); });
     EXPECT_EQ(held, 1) << "seed " << seed;
-    for (auto& c : all) EXPECT_EQ(c->lease.holder(), all.front()->lease.holder());
-    for (auto& c : all) {
-      if (c->lease.held()) c->lease.withdraw();
+    for (auto& candidate : candidates)
+      EXPECT_EQ(candidate->lease.holder(), candidates.front()->lease.holder());
+    for (auto& candidate : candidates) {
+      if (candidate->lease.held()) candidate->lease.withdraw();
     }
     simulator.run_until(20);
-    EXPECT_EQ(std::count_if(all.begin(), all.end(), [](auto& c) { return c->lease.held(); }), 1);
+    EXPECT_EQ(std::count_if(candidates.begin(), candidates.end(),
+                            [](auto& candidate) { return candidate->lease.held(); }),
+              1);
   }
 }
 
--- a/tests/provisioning_admin_test.cpp
+++ b/tests/provisioning_admin_test.cpp
@@ -1,4 +1,5 @@
-// Provisioning and its operators: handover, pause, admin commands, and records that cannot be read.
+// Tests of administrators' requests to provisioning (handover, pause, admin commands) and of
+// records that cannot be decoded.
 
 #include <gtest/gtest.h>
 
@@ -9,11 +10,14 @@
 
 using namespace test_support;
 
-Json control(bool paused, std::uint64_t from) { return encode_control({paused, from}); }
+Json control_record(bool paused, std::uint64_t hand_over_from) {
+  return encode_control({paused, hand_over_from});
+}
 
+// A handover must happen exactly once and lose no job or machine, even if a holder crashes.
+// 0: no crash; 1: the old holder crashes as it hands over; 2: the new holder crashes.
 class ProvisioningHandover : public testing::TestWithParam<int> {};
 
-// 0: both holders live; 1: the old holder ends as it hands over; 2: the new one ends.
 TEST_P(ProvisioningHandover, HappensOnceAndLosesNothing) {
   Scenario scenario(90);
   std::vector<std::string> jobs{scenario.users.submit(array_job(8, 20))};
@@ -21,7 +25,7 @@
   const int before = scenario.leader();
   const auto token = provisioning_token(scenario);
   ASSERT_NE(token, 0U);
-  scenario.store.overwrite(kControlKey, control(false, token));
+  scenario.store.overwrite(kControlKey, control_record(false, token));
   if (GetParam() == 1) {
     for (double t = 6; scenario.leader() == before && t < 30; t += 0.01) scenario.run_until(t);
     scenario.crash(before, 60);
@@ -41,17 +45,17 @@
 
 INSTANTIATE_TEST_SUITE_P(Provisioning, ProvisioningHandover, testing::Values(0, 1, 2));
 
-TEST(ProvisioningPause, BeginsNothingUntilResumed) {
+TEST(ProvisioningPause, BeginsNoOperationUntilResumed) {
   Scenario scenario(91);
-  scenario.store.overwrite(kControlKey, control(true, 0));
+  scenario.store.overwrite(kControlKey, control_record(true, 0));
   const auto job = scenario.users.submit(array_job(8, 20));
   scenario.run_until(40);
   EXPECT_EQ(scenario.cloud.requests.rented, 0U);
-  scenario.store.overwrite(kControlKey, control(false, 0));
+  scenario.store.overwrite(kControlKey, control_record(false, 0));
   expect_clean_end(scenario, {job}, 400);
 }
 
-// What the admin commands show and change, from outside the nodes.
+// Runs the admin commands from outside the nodes, and checks their output and their effect.
 TEST(AdminCommands, ShowPauseAndHandOver) {
   Scenario scenario(95);
   const auto job = scenario.users.submit(array_job(8, 20));
@@ -63,15 +67,15 @@
   store::Store store(runtime, settings);
   AdminCommands admin_commands(store);
   std::string text;
-  bool good = false;
+  bool succeeded = false;
   const auto done = [&](bool ok, const std::vector<std::string>& lines) {
-    good = ok;
+    succeeded = ok;
     text.clear();
     for (const auto& line : lines) text += line + "\n";
   };
   admin_commands.show(done);
   scenario.run_until(13);
-  EXPECT_TRUE(good);
+  EXPECT_TRUE(succeeded);
   const int holder = scenario.leader();
   EXPECT_NE(text.find("held by " + scenario.node_name(holder) + " with token " +
                       std::to_string(provisioning_token(scenario))),
@@ -81,25 +85,26 @@
   EXPECT_NE(text.find("ledger/machines/x cannot be read"), std::string::npos) << text;
   admin_commands.pause(true, done);
   scenario.run_until(14);
-  EXPECT_TRUE(good);
+  EXPECT_TRUE(succeeded);
   EXPECT_EQ(scenario.store.records().at(kControlKey).first["paused"], true);
   admin_commands.pause(false, done);
   scenario.run_until(15);
   admin_commands.hand_over(done);
   scenario.run_until(40);
-  EXPECT_TRUE(good);
+  EXPECT_TRUE(succeeded);
   EXPECT_NE(scenario.leader(), holder);
   scenario.store.set_outage(true);
   admin_commands.show(done);
   scenario.run_until(60);
-  EXPECT_FALSE(good);
+  EXPECT_FALSE(succeeded);
   scenario.store.set_outage(false);
   expect_clean_end(scenario, {job}, 400);
 }
 
+// Stored values that cannot be decoded. Such a record must not start or end anything, and the rest
+// of the service must go on.
 class MalformedRecord : public testing::TestWithParam<std::tuple<const char*, const char*>> {};
 
-// Nothing is started because of it, nothing ends, and the rest goes on.
 TEST_P(MalformedRecord, OfAnOperationIsQuarantined) {
   Scenario scenario(92);
   const std::string key = std::string(kOperationPrefix) + "r-1-1";
@@ -110,7 +115,7 @@
   EXPECT_EQ(scenario.checker.final_stage(job), "done");
   EXPECT_EQ(scenario.cloud.requests.rentals.count("r-1-1"), 0U);
   ASSERT_NE(scenario.store.records().find(key), scenario.store.records().end())
-      << "left for an operator to look at";
+      << "the record was not kept for administrators";
   EXPECT_EQ(scenario.store.records().at(key).first, value);
 }
 
@@ -119,7 +124,7 @@
   scenario.store.overwrite(kLeaseKey, Json::parse(std::get<1>(GetParam())));
   scenario.users.submit(array_job(8, 20));
   scenario.run_until(60);
-  EXPECT_GE(scenario.leader(), 0) << "leadership does not depend on it";
+  EXPECT_GE(scenario.leader(), 0) << "leadership must not depend on the provisioning lease";
   EXPECT_EQ(scenario.cloud.requests.rented, 0U);
 }
 
--- a/tests/provisioning_fixture.hpp
+++ b/tests/provisioning_fixture.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// What the tests of provisioning look at.
+// Helpers of the provisioning tests.
 
 #include <gtest/gtest.h>
 
@@ -15,8 +15,8 @@
 using namespace sim;
 using namespace asterstair::provisioning;
 
-/// The keys of all operations in this state.
-inline std::string operations_in(const Scenario& scenario, const std::string& state) {
+/// Returns the keys of all operations that are stored in this state, each followed by a space.
+inline std::string operations_in_state(const Scenario& scenario, const std::string& state) {
   std::string out;
   for (const auto& [key, value] : scenario.store.records()) {
     if (key.starts_with(kOperationPrefix) && value.first.value("state", "") == state)
@@ -25,16 +25,18 @@
   return out;
 }
 
+/// Whether the request asks the cloud for machines.
 inline bool is_rental(const HttpRequest& request) {
   return request.target == "/machines" && request.method == "POST";
 }
 
+/// Whether the request is a transaction that writes an operation record.
 inline bool writes_operation_log(const HttpRequest& request) {
   return request.target == "/txn" && request.body.find(kOperationPrefix) != std::string::npos;
 }
 
-/// Runs until `until` and expects that the jobs are done and all machines returned, with no
-/// operation left open.
+/// Runs until `until`. Expects that the jobs are done, that all machines are returned and none
+/// twice or with work on it, and that no operation is Pending.
 inline void expect_clean_end(Scenario& scenario, const std::vector<std::string>& jobs,
                              double until) {
   scenario.run_until(until);
@@ -43,10 +45,10 @@
   EXPECT_EQ(scenario.cloud.requests.double_returns, 0U);
   EXPECT_EQ(scenario.cloud.requests.returned_with_work, 0U);
   EXPECT_EQ(scenario.cloud.rented_count(), 0U);
-  EXPECT_EQ(operations_in(scenario, "intended"), "");
+  EXPECT_EQ(operations_in_state(scenario, "intended"), "");
 }
 
-/// The token of the provisioning lease; 0 if nobody holds it.
+/// Returns the fencing token of the provisioning lease, or 0 if no node holds it.
 inline std::uint64_t provisioning_token(const Scenario& scenario) {
   const auto it = scenario.store.records().find(kLeaseKey);
   return it == scenario.store.records().end() ? 0 : it->second.second;
--- a/tests/provisioning_records_test.cpp
+++ b/tests/provisioning_records_test.cpp
@@ -1,4 +1,5 @@
-// Records of provisioning operations: what is read is what was written, and nothing else is read.
+// Tests of the records of provisioning operations: encoded records decode to the same operation,
+// and anything else is rejected.
 
 #include <gtest/gtest.h>
 
@@ -12,81 +13,89 @@
 using namespace asterstair::provisioning;
 using wire::Json;
 
-Operation rental() {
-  Operation o;
-  o.name = "r-41-1";
-  o.token = 41;
-  o.holder = "ghat-0";
-  o.begun = WallTime(milliseconds(1'700'000'000'123));
-  o.rental = {"c16", "north", true, 3};
-  return o;
+Operation rental_operation() {
+  Operation operation;
+  operation.name = "r-41-1";
+  operation.token = 41;
+  operation.holder = "ghat-0";
+  operation.begun = WallTime(milliseconds(1'700'000'000'123));
+  operation.rental = {"c16", "north", true, 3};
+  return operation;
 }
 
-Operation give_back() {
-  Operation o = rental();
-  o.name = "d-41-2";
-  o.kind = OperationKind::Return;
-  o.rental = {};
-  o.returns = {{"n-000001", ReturnReason::Idle}, {"n-000002", ReturnReason::FailedBoot}};
-  return o;
+Operation return_operation() {
+  Operation operation = rental_operation();
+  operation.name = "d-41-2";
+  operation.kind = OperationKind::Return;
+  operation.rental = {};
+  operation.returns = {{"n-000001", ReturnReason::Idle}, {"n-000002", ReturnReason::FailedBoot}};
+  return operation;
 }
 
 TEST(OperationRecord, RoundTrips) {
-  auto granted = rental();
+  auto granted = rental_operation();
   granted.state = OperationState::Granted;
   granted.machines = {"n-000001", "n-000002"};
-  auto confirmed = give_back();
+  auto confirmed = return_operation();
   confirmed.state = OperationState::Confirmed;
-  for (const auto& o : {rental(), granted, give_back(), confirmed}) {
-    EXPECT_EQ(decode_operation(operation_key(o.name), encode_operation(o)), o) << o.name;
+  for (const auto& operation : {rental_operation(), granted, return_operation(), confirmed}) {
+    EXPECT_EQ(decode_operation(operation_key(operation.name), encode_operation(operation)),
+              operation)
+        << operation.name;
   }
 }
 
-TEST(OperationRecord, RefusesMissingFieldsAndUnknownWords) {
-  for (const auto& o : {rental(), give_back()}) {
-    const Json whole = encode_operation(o);
-    for (const auto& [field, value] : whole.items()) {
-      if (field == "form") continue;  // of the first form when absent
-      Json without = whole;
-      without.erase(field);
-      EXPECT_THROW(decode_operation(operation_key(o.name), without), wire::DecodeError) << field;
-      Json other = whole;
-      other[field] = Json::array({1});
-      EXPECT_THROW(decode_operation(operation_key(o.name), other), wire::DecodeError) << field;
+TEST(OperationRecord, RejectsMissingFieldsAndUnknownNames) {
+  for (const auto& operation : {rental_operation(), return_operation()}) {
+    const Json valid = encode_operation(operation);
+    for (const auto& [field, value] : valid.items()) {
+      if (field == "form") continue;  // a record without it has the first format
+      Json missing_field = valid;
+      missing_field.erase(field);
+      EXPECT_THROW(decode_operation(operation_key(operation.name), missing_field),
+                   wire::DecodeError)
+          << field;
+      Json wrong_type = valid;
+      wrong_type[field] = Json::array({1});
+      EXPECT_THROW(decode_operation(operation_key(operation.name), wrong_type), wire::DecodeError)
+          << field;
     }
-    Json newer = whole;
+    Json newer = valid;
     newer["form"] = 2;
-    EXPECT_THROW(decode_operation(operation_key(o.name), newer), wire::DecodeError);
-    EXPECT_THROW(decode_operation("ledger/machines/", whole), wire::DecodeError);
+    EXPECT_THROW(decode_operation(operation_key(operation.name), newer), wire::DecodeError);
+    EXPECT_THROW(decode_operation("ledger/machines/", valid), wire::DecodeError);
   }
-  Json wrong_kind = encode_operation(give_back());
+  Json wrong_kind = encode_operation(return_operation());
   wrong_kind["state"] = "granted";
   EXPECT_THROW(decode_operation("ledger/machines/x", wrong_kind), wire::DecodeError);
 }
 
-// Seeded changes of valid records: each is read or refused, and what is read is valid.
+// Changes random characters of valid records. Each result must be decoded or rejected, and what is
+// decoded must be valid.
 TEST(OperationRecord, SurvivesRandomChanges) {
-  std::mt19937_64 random(5);
-  const std::string texts[] = {encode_operation(rental()).dump(),
-                               encode_operation(give_back()).dump()};
-  std::size_t read = 0, refused = 0;
+  std::mt19937_64 rng(5);
+  const std::string texts[] = {encode_operation(rental_operation()).dump(),
+                               encode_operation(return_operation()).dump()};
+  std::size_t decoded = 0, rejected = 0;
   for (int i = 0; i < 20'000; ++i) {
     std::string text = texts[i % 2];
-    for (auto changes = random() % 3 + 1; changes > 0; --changes) {
-      text[random() % text.size()] = static_cast<char>(' ' + random() % 95);
+    for (auto changes = rng() % 3 + 1; changes > 0; --changes) {
+      text[rng() % text.size()] = static_cast<char>(' ' + rng() % 95);
     }
     const Json value = Json::parse(text, nullptr, false);
     if (value.is_discarded()) continue;
     try {
-      const auto o = decode_operation("ledger/machines/r-41-1", value);
-      EXPECT_EQ(decode_operation(operation_key(o.name), encode_operation(o)), o) << text;
-      ++read;
+      const auto operation = decode_operation("ledger/machines/r-41-1", value);
+      EXPECT_EQ(decode_operation(operation_key(operation.name), encode_operation(operation)),
+                operation)
+          << text;
+      ++decoded;
     } catch (const wire::DecodeError&) {
-      ++refused;
+      ++rejected;
     }
   }
-  EXPECT_GT(read, 100U);
-  EXPECT_GT(refused, 100U);
+  EXPECT_GT(decoded, 100U);
+  EXPECT_GT(rejected, 100U);
 }
 
 TEST(OperationState, AllowsOnlyValidTransitions) {
--- a/tests/provisioning_step_fault_test.cpp
+++ b/tests/provisioning_step_fault_test.cpp
@@ -1,6 +1,7 @@
 // The holder of the provisioning lease fails at each step of its operations in turn: at each
-// message that it sends for them, and at each answer that it gets. The tests judge by what the
-// cloud and the workers saw.
+// request that it sends for them, and at each response to such a request. Whatever the step, no
+// machine may be rented twice, returned twice or lost. The tests check what the cloud and the
+// workers have seen, and that no operation stays Pending.
 
 #include <gtest/gtest.h>
 
@@ -16,22 +17,24 @@
 enum class HolderFault {
   ShortFreeze,   // freezes for less than its lease
   LongFreeze,    // freezes for longer than its lease
-  FreezeOfBoth,  // the same, and its successor freezes at its own first step
-  Crash,         // ends and restarts within a fraction of a second
-  LateMessage,   // freezes for long, and its message is delivered minutes late
-  LostAnswer,    // goes on, but its message is delivered late and never answered
+  FreezeOfBoth,  // like LongFreeze, and its successor freezes at its own first step
+  Crash,         // crashes and restarts after 0.3 s
+  LateMessage,   // like LongFreeze, and its request is delivered kDeliveryDelayS late
+  LostAnswer,    // continues, but its request is delivered kDeliveryDelayS late, without an answer
 };
 
 constexpr std::uint64_t kSeed = 71;
-constexpr double kEnd = 420, kShort = 6, kLong = 40, kLate = 90;
-constexpr double kNoneReturnedYet = 45;
+// End of a run, durations of the freezes and delay of late requests, in seconds.
+constexpr double kEndS = 420, kShortFreezeS = 6, kLongFreezeS = 40, kDeliveryDelayS = 90;
+// In rent_one(), the first machine has been rented by this time, and none has been returned.
+constexpr double kBeforeFirstReturnS = 45;
 
 bool concerns_provisioning(const HttpRequest& request) {
   if (request.target == "/machines" || request.target == "/machines/return") return true;
   return request.target == "/txn" && request.body.find("ledger/machines/") != std::string::npos;
 }
 
-// A run in which the holder fails at one step. Counts the steps.
+// A run of the scenario in which the holder fails at one step. Counts the steps.
 class FaultedRun {
  public:
   FaultedRun(bool cloud_checks_tokens, HolderFault fault, std::size_t step)
@@ -41,7 +44,7 @@
                                             const HttpRequest& request) {
       if (!concerns_provisioning(request)) return 0.0;
       const bool late = fault_ == HolderFault::LateMessage || fault_ == HolderFault::LostAnswer;
-      return next_step(from) && late ? kLate : 0.0;
+      return next_step(from) && late ? kDeliveryDelayS : 0.0;
     };
     scenario.network.on_answered = [this](const std::string& from, const std::string&,
                                           const HttpRequest& request) {
@@ -49,16 +52,17 @@
     };
   }
 
-  // Machines are rented, become idle and are returned; a gang is submitted meanwhile.
+  // Machines are rented, become idle and are returned. A gang is submitted in the meantime.
   void rent_and_return() {
     jobs_.push_back(scenario.users.submit(array_job(8, 20)));
     scenario.simulator.schedule(75s, [this] { jobs_.push_back(scenario.users.submit(gang())); });
-    scenario.run_until(kEnd);
+    scenario.run_until(kEndS);
   }
-  // One machine would hold all the work, but none ever boots: each is returned after a while.
+  // One machine would have room for all tasks, but no machine boots: each is returned after its
+  // boot timeout.
   void rent_one(double until) {
     scenario.cloud.boot_failure_rate = 1;
-    auto job = array_job(4, kEnd);
+    auto job = array_job(4, kEndS);
     job.requirements.types = {"c16"};
     scenario.users.submit(job);
     scenario.run_until(until);
@@ -68,15 +72,15 @@
   }
 
   void check() const {
-    const auto& orders = scenario.cloud.requests;
+    const auto& requests = scenario.cloud.requests;
     EXPECT_TRUE(scenario.checker.violations.empty()) << scenario.checker.report();
     for (const auto& job : jobs_) EXPECT_EQ(scenario.checker.final_stage(job), "done") << job;
-    EXPECT_EQ(orders.double_returns, 0U);
-    EXPECT_EQ(orders.returned_with_work, 0U);
-    EXPECT_EQ(scenario.cloud.rented_count(), 0U) << "machines are lost to everybody";
+    EXPECT_EQ(requests.double_returns, 0U);
+    EXPECT_EQ(requests.returned_with_work, 0U);
+    EXPECT_EQ(scenario.cloud.rented_count(), 0U) << "some machines were not returned";
     for (const auto& [key, value] : scenario.store.records()) {
       if (key.starts_with("ledger/machines/")) {
-        EXPECT_NE(value.first.value("state", ""), "intended") << key << " is still open";
+        EXPECT_NE(value.first.value("state", ""), "intended") << key << " is still Pending";
       }
     }
   }
@@ -92,25 +96,26 @@
     return job;
   }
 
-  // Counts a step, and injects the fault if it is the one. Returns whether it is.
+  // Counts a step, and injects the fault at the selected step. Returns whether this was the
+  // selected step.
   bool next_step(const std::string& from) {
     const int node = scenario.node_named(from);
     if (node < 0) return false;
     if (fault_ == HolderFault::FreezeOfBoth && faulted_node_ >= 0 && node != faulted_node_ &&
         !both_frozen_) {
       both_frozen_ = true;
-      scenario.freeze(node, kLong);
+      scenario.freeze(node, kLongFreezeS);
     }
     if (steps++ != step_) return false;
     faulted_node_ = node;
     switch (fault_) {
       case HolderFault::ShortFreeze:
-        scenario.freeze(node, kShort);
+        scenario.freeze(node, kShortFreezeS);
         break;
       case HolderFault::LongFreeze:
       case HolderFault::FreezeOfBoth:
       case HolderFault::LateMessage:
-        scenario.freeze(node, kLong);
+        scenario.freeze(node, kLongFreezeS);
         break;
       case HolderFault::Crash:
         scenario.simulator.schedule(0s, [this, node] { scenario.crash(node, 0.3); });
@@ -128,17 +133,18 @@
   std::vector<std::string> jobs_;
 };
 
-constexpr std::size_t kNever = SIZE_MAX;
+constexpr std::size_t kNoStep = SIZE_MAX;
 
 class HolderFaultAtEachStep : public testing::TestWithParam<std::tuple<HolderFault, bool>> {};
 
 TEST_P(HolderFaultAtEachStep, ReturnsNothingTwiceAndLosesNothing) {
   const auto [fault, cloud_checks_tokens] = GetParam();
-  FaultedRun calm(cloud_checks_tokens, fault, kNever);
-  calm.rent_and_return();
-  calm.check();
-  ASSERT_GE(calm.steps, 24U) << "two rentals and two returns, each with its records";
-  for (std::size_t step = 0; step < calm.steps; ++step) {
+  FaultedRun baseline(cloud_checks_tokens, fault, kNoStep);
+  baseline.rent_and_return();
+  baseline.check();
+  ASSERT_GE(baseline.steps, 24U)
+      << "expected two rentals and two returns, each with its log writes";
+  for (std::size_t step = 0; step < baseline.steps; ++step) {
     SCOPED_TRACE("step " + std::to_string(step));
     FaultedRun run(cloud_checks_tokens, fault, step);
     run.rent_and_return();
@@ -148,23 +154,24 @@
 
 TEST_P(HolderFaultAtEachStep, RentsNothingTwice) {
   const auto [fault, cloud_checks_tokens] = GetParam();
-  FaultedRun calm(cloud_checks_tokens, fault, kNever);
-  calm.rent_one(kNoneReturnedYet);
-  ASSERT_GE(calm.steps, 5U) << "one rental, with its records";
-  ASSERT_EQ(calm.scenario.cloud.requests.rented, 1U);
-  for (std::size_t step = 0; step < calm.steps; ++step) {
+  FaultedRun baseline(cloud_checks_tokens, fault, kNoStep);
+  baseline.rent_one(kBeforeFirstReturnS);
+  ASSERT_GE(baseline.steps, 5U) << "expected one rental with its log writes";
+  ASSERT_EQ(baseline.scenario.cloud.requests.rented, 1U);
+  for (std::size_t step = 0; step < baseline.steps; ++step) {
     SCOPED_TRACE("step " + std::to_string(step));
     FaultedRun run(cloud_checks_tokens, fault, step);
-    run.rent_one(kNoneReturnedYet);
+    run.rent_one(kBeforeFirstReturnS);
     EXPECT_EQ(run.scenario.cloud.requests.rented, 1U);
-    run.scenario.run_until(kLate + kLong);
+    run.scenario.run_until(kDeliveryDelayS + kLongFreezeS);
     EXPECT_LE(run.rented_now(), 1U);
     EXPECT_TRUE(run.scenario.checker.violations.empty()) << run.scenario.checker.report();
   }
 }
 
 std::string parameter_name(const testing::TestParamInfo<std::tuple<HolderFault, bool>>& info) {
-  constexpr std::array kNames{"Short", "Long", "Both", "Ends", "LateMessage", "UnheardAnswer"};
+  constexpr std::array kNames{"ShortFreeze", "LongFreeze",  "FreezeOfBoth",
+                              "Crash",       "LateMessage", "LostAnswer"};
   return std::string(kNames.at(static_cast<std::size_t>(std::get<0>(info.param)))) +
          (std::get<1>(info.param) ? "_fencing" : "");
 }
--- a/tests/provisioning_test.cpp
+++ b/tests/provisioning_test.cpp
@@ -1,4 +1,5 @@
-// Provisioning during faults, one at a time: clocks, failover, the state service and the cloud.
+// Tests of provisioning with one kind of fault at a time: clock drift, failover, faults of the
+// state service and faults of the cloud.
 
 #include <gtest/gtest.h>
 
@@ -15,15 +16,16 @@
 
 class HolderClockDrift : public testing::TestWithParam<double> {};
 
-// Within the bound and far beyond it: a holder that counts its lease too long can begin nothing,
-// since its writes carry the fencing token, and it repeats only what stands in the operation log.
-TEST_P(HolderClockDrift, DoesNoHarm) {
+// The drift of the holder's clock is within the bound (kClockDrift) or far beyond it. A holder that
+// takes its lease for valid too long can begin no operation, because its writes carry the fencing
+// token. It only repeats requests that are in the operation log.
+TEST_P(HolderClockDrift, LosesNoJobAndNoMachine) {
   Scenario scenario(81);
   scenario.cloud.checks_tokens = true;
   std::vector<std::string> jobs{scenario.users.submit(array_job(8, 20))};
   int holder = -1;
-  // At its first answer from the cloud the holder's clock changes, and it is isolated from its
-  // peers and the state service.
+  // When the cloud first answers a rental, the speed of the holder's clock changes, and the holder
+  // is isolated from its peers and the state service.
   scenario.network.on_answered = [&](const std::string& from, const std::string&,
                                      const HttpRequest& request) {
     if (holder >= 0 || !is_rental(request)) return;
@@ -44,49 +46,49 @@
 
 // ---- Failover ----
 
-// The cloud is down while the operation is open, and two holders end: the third completes it under
-// the name that the first gave it.
-TEST(ProvisioningFailover, CompletesAnOpenOperationUnderItsName) {
+// All rentals are lost on the way to the cloud, and two holders crash in turn while an operation is
+// Pending. The third holder must complete it under the name that the first one gave it.
+TEST(ProvisioningFailover, CompletesAPendingOperationUnderItsName) {
   Scenario scenario(82);
   const auto job = scenario.users.submit(array_job(8, 20));
-  bool swallow = true;
+  bool drop_rentals = true;
   scenario.network.drop_request = [&](const std::string&, const std::string&,
                                       const HttpRequest& request) {
-    return swallow && is_rental(request);
+    return drop_rentals && is_rental(request);
   };
   scenario.run_until(12);
-  const std::string open = operations_in(scenario, "intended");
-  ASSERT_NE(open, "");
+  const std::string pending = operations_in_state(scenario, "intended");
+  ASSERT_NE(pending, "");
   scenario.crash(scenario.leader(), 60);
   scenario.run_until(45);
   ASSERT_GE(scenario.leader(), 0);
-  EXPECT_EQ(operations_in(scenario, "intended"), open) << "something new was begun";
+  EXPECT_EQ(operations_in_state(scenario, "intended"), pending) << "a new operation was begun";
   scenario.crash(scenario.leader(), 60);
   scenario.run_until(80);
-  EXPECT_EQ(operations_in(scenario, "intended"), open);
+  EXPECT_EQ(operations_in_state(scenario, "intended"), pending);
   EXPECT_TRUE(scenario.cloud.requests.rentals.empty());
-  swallow = false;
+  drop_rentals = false;
   scenario.run_until(120);
-  std::istringstream names(open);
-  for (std::string key; names >> key;) {
+  std::istringstream keys(pending);
+  for (std::string key; keys >> key;) {
     const auto name = key.substr(std::string_view(kOperationPrefix).size());
     EXPECT_EQ(scenario.cloud.requests.rentals.count(name), 1U) << name << " was not completed";
   }
   expect_clean_end(scenario, {job}, 400);
 }
 
-// A machine that an earlier leader was returning gets no work, although it sends heartbeats and has
-// room.
-TEST(ProvisioningFailover, GivesNoWorkToAMachineWithAnOpenReturn) {
+// The leader crashes while the return of a machine is Pending. The new leader must give the machine
+// no work, although it sends heartbeats and has room.
+TEST(ProvisioningFailover, GivesNoWorkToAMachineWithAPendingReturn) {
   Scenario scenario(83);
   const auto first = scenario.users.submit(array_job(4, 10));
-  bool hold = true;
+  bool drop_returns = true;
   scenario.network.drop_request = [&](const std::string&, const std::string&,
                                       const HttpRequest& request) {
-    return hold && request.target == "/machines/return";
+    return drop_returns && request.target == "/machines/return";
   };
   const auto returning_now = [&] {
-    return operations_in(scenario, "intended").find("/d-") != std::string::npos;
+    return operations_in_state(scenario, "intended").find("/d-") != std::string::npos;
   };
   for (double t = 1; !returning_now() && t < 120; t += 0.5) scenario.run_until(t);
   std::set<std::string> returning;
@@ -105,17 +107,18 @@
     const auto answer = Json::parse(response.body);
     for (const auto& command : answer["orders"]) started += command["verb"] == "run" ? 1 : 0;
   };
-  // More than all machines hold.
+  // More tasks than the machines have room for.
   const auto second = scenario.users.submit(array_job(60, 20));
   scenario.run_until(scenario.simulator.elapsed() + 60);
   EXPECT_EQ(started, 0U);
-  hold = false;
+  drop_returns = false;
   scenario.network.alter_response = nullptr;
   expect_clean_end(scenario, {first, second}, scenario.simulator.elapsed() + 300);
 }
 
 // ---- State service ----
 
+// The state service does not answer the holder for 90 s. Another node must take over.
 TEST(ProvisioningStoreFault, MovesProvisioningFromAnIsolatedHolder) {
   Scenario scenario(84);
   std::vector<std::string> jobs{scenario.users.submit(array_job(8, 20))};
@@ -131,45 +134,48 @@
   expect_clean_end(scenario, jobs, 400);
 }
 
-// The result of a rental cannot be recorded for a while. Its machines are used all the same.
-TEST(ProvisioningStoreFault, LosesNothingBetweenIntentAndResult) {
+// The state service goes down for 15 s when the cloud answers a rental, so the result is not stored
+// at once. The granted machines must be used nevertheless, and none may be lost.
+TEST(ProvisioningStoreFault, UsesMachinesBeforeTheResultIsStored) {
   Scenario scenario(85);
   const auto job = scenario.users.submit(array_job(8, 20));
-  bool once = false;
+  bool outage_started = false;
   scenario.network.on_answered = [&](const std::string&, const std::string&,
                                      const HttpRequest& request) {
-    if (once || !is_rental(request)) return;
-    once = true;
+    if (outage_started || !is_rental(request)) return;
+    outage_started = true;
     scenario.store.set_outage(true);
     scenario.simulator.schedule(15s, [&] { scenario.store.set_outage(false); });
   };
   expect_clean_end(scenario, {job}, 400);
-  EXPECT_TRUE(once);
+  EXPECT_TRUE(outage_started);
 }
 
-// An intent is written without an answer, and applied after the operation is over: it stays over.
-TEST(ProvisioningStoreFault, RevivesNothingByALateIntent) {
+// The write of a Pending record is not answered, and is executed only after the operation has been
+// completed. It must not create the operation again.
+TEST(ProvisioningStoreFault, RejectsALateWriteOfAPendingRecord) {
   Scenario scenario(86);
   const auto job = scenario.users.submit(array_job(8, 20));
-  std::size_t late = 0;
+  std::size_t log_writes = 0;
   scenario.network.delay_request = [&](const std::string&, const std::string&,
                                        const HttpRequest& request) {
-    return writes_operation_log(request) && late++ < 2 ? 200.0 : 0.0;
+    return writes_operation_log(request) && log_writes++ < 2 ? 200.0 : 0.0;
   };
   expect_clean_end(scenario, {job}, 400);
-  EXPECT_GE(late, 2U);
-  for (const auto& [name, asked] : scenario.cloud.requests.rentals) EXPECT_EQ(asked, 1U) << name;
-  EXPECT_NE(operations_in(scenario, "settled"), "")
-      << "the record that lets the late copy fail is gone";
-  // Under a new token late copies fail by themselves, so the record is removed.
+  EXPECT_GE(log_writes, 2U);
+  for (const auto& [name, count] : scenario.cloud.requests.rentals) EXPECT_EQ(count, 1U) << name;
+  EXPECT_NE(operations_in_state(scenario, "settled"), "")
+      << "the record that makes the late write fail was removed";
+  // Under a new token the late write fails on its guards, so the record is removed.
   scenario.crash(scenario.leader(), 0.3);
   scenario.run_until(480);
-  EXPECT_EQ(operations_in(scenario, "settled"), "");
+  EXPECT_EQ(operations_in_state(scenario, "settled"), "");
 }
 
 // ---- Cloud ----
 
-// A rental is refused, and granted by a late copy of the same request: its machines are orphaned.
+// The cloud refuses a rental, and 60 s later grants a duplicate of the same request. The granted
+// machines are orphaned and must be returned.
 TEST(CloudFault, ReturnsAMachineGrantedAfterARefusal) {
   Scenario scenario(87);
   const auto job = scenario.users.submit(array_job(8, 20));
@@ -191,6 +197,7 @@
   expect_clean_end(scenario, {job}, 400);
 }
 
+// The cloud grants fewer machines than requested, is down for 14 s, and its list of machines lags.
 TEST(CloudFault, LosesNothingToPartialFillsOutagesAndStaleLists) {
   Scenario scenario(88);
   scenario.cloud.rental_limit = 1;
@@ -206,21 +213,24 @@
   expect_clean_end(scenario, jobs, 500);
 }
 
+// The first responses to rentals and returns are replaced by malformed ones or errors, although the
+// requests were executed. No machine may be lost or returned twice.
 TEST(CloudFault, TreatsMalformedResponsesAsNone) {
   Scenario scenario(89);
   const auto job = scenario.users.submit(array_job(8, 20));
-  std::size_t spoilt = 0;
+  std::size_t altered_responses = 0;
   scenario.network.alter_response = [&](const std::string&, const HttpRequest& request,
                                         HttpResponse& response) {
-    const bool order = is_rental(request) || request.target == "/machines/return";
-    if (!order || spoilt >= 12) return;
+    const bool rents_or_returns = is_rental(request) || request.target == "/machines/return";
+    if (!rents_or_returns || altered_responses >= 12) return;
     constexpr std::array kBodies{"", "{", "[]", R"({"hosts":7})"};
-    response = ++spoilt % 3 == 0 ? HttpResponse{429, "{}"}
-                                 : HttpResponse{200, kBodies.at(spoilt % kBodies.size())};
+    response = ++altered_responses % 3 == 0
+                   ? HttpResponse{429, "{}"}
+                   : HttpResponse{200, kBodies.at(altered_responses % kBodies.size())};
     if (request.target == "/machines/return") response.status = 500;
   };
   expect_clean_end(scenario, {job}, 500);
-  EXPECT_EQ(spoilt, 12U);
+  EXPECT_EQ(altered_responses, 12U);
 }
 
 }  // namespace
