--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -108,7 +108,7 @@
     return ReturnReason::Unreachable;
   }
   const Duration expired_timeout = settings_.lease + kLeaseExpiredTimeout;
-  if (machine.lease_expired && now - machine.last_answered > expired_timeout) {
+  if (machine.lease_expired && now - machine.latest_possible_renewal > expired_timeout) {
     return ReturnReason::LeaseExpired;
   }
   return std::nullopt;
--- a/src/cluster/cluster_state.hpp
+++ b/src/cluster/cluster_state.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// All that a leader knows of jobs and machines during one term.
+/// The leader's state of jobs and machines during one term.
 
 #include "cluster/job_table.hpp"
 #include "cluster/machine_losses.hpp"
@@ -9,8 +9,8 @@
 
 namespace asterstair::cluster {
 
-/// The tables that the modules of a term share. Pure state: what may change which part is said by
-/// the modules of src/leader, see docs/architecture.md. Owned by leader::Term.
+/// The tables that the modules of a term share. Pure state: which module of src/leader may change
+/// which part is documented in those modules and in docs/architecture.md. Owned by leader::Term.
 struct ClusterState {
   ClusterState() : losses(machines) {}
   ClusterState(const ClusterState&) = delete;
@@ -18,11 +18,11 @@
 
   /// The live jobs.
   JobTable jobs;
-  /// All machines that are known.
+  /// The known machines.
   MachineTable machines;
-  /// What each team's tasks hold.
+  /// The resources that each team's tasks hold.
   TeamUsage team_usage;
-  /// How often machines are lost.
+  /// Rates at which machines are lost.
   MachineLosses losses;
 };
 
--- a/src/cluster/job.hpp
+++ b/src/cluster/job.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One live job, as the leader knows it. Pure state: no I/O, no clock.
+/// The leader's state of one live job. Pure state: no I/O, no clock.
 
 #include <cstdint>
 #include <optional>
@@ -15,62 +15,62 @@
 
 namespace asterstair::cluster {
 
-/// Where a task is, or may be, running.
+/// The attempt of a task that is running, or may be running, on a machine.
 struct Assignment {
   /// Name of the machine.
   std::string machine;
   std::uint64_t attempt = 0;  ///< see AttemptId
-  bool running = false;       ///< has been reported as running
+  bool running = false;       ///< the worker has reported it as running
 };
 
-/// A job that is neither done nor cancelled. Tasks are named by their index.
+/// A job that is neither done nor cancelled. Tasks are identified by their index.
 struct Job {
-  /// Whether the job's first progress record is durable. It precedes the first start, so that the
-  /// next leader knows that tasks may be running.
+  /// Whether the job's first progress record is durable. It is written before the first start
+  /// command is sent, so that the next leader knows that tasks may be running.
   enum class StartRecord {
     Absent,   ///< not written
-    Writing,  ///< its write has not been answered yet
-    Durable   ///< in the store
+    Writing,  ///< its write is in flight
+    Durable   ///< stored
   };
 
-  /// What its user submitted.
+  /// The job as its user submitted it.
   JobSpecPtr spec;
   std::uint64_t version = 0;  ///< revision of the live record
-  WallTime accepted{};        ///< when a user was told that the job is accepted
+  WallTime accepted{};        ///< when its acceptance was confirmed to its user
 
   // Progress.
   std::vector<bool> done;     ///< by task
-  std::vector<bool> durable;  ///< the part of `done` that the store has
+  std::vector<bool> durable;  ///< the part of `done` that is durable in the store
   /// The number of tasks that are done.
   std::uint32_t done_count = 0;
-  std::set<std::size_t> dirty_chunks;  ///< of the progress record; differ from the store's
-  /// State of the first progress record.
+  std::set<std::size_t> dirty_chunks;  ///< chunks of the progress record that differ from the store
+  /// Whether the first progress record is durable.
   StartRecord start_record = StartRecord::Absent;
-  bool started_by_previous_leader = false;  ///< unreported tasks may run anywhere
-  /// A write of its progress has not been answered yet.
+  bool started_by_previous_leader = false;  ///< unreported tasks may run on any machine
+  /// A write of the progress record is in flight.
   bool progress_write_in_flight = false;
-  /// The write of its final record has not been answered yet.
+  /// The write of the final record is in flight.
   bool completion_write_in_flight = false;
-  TimePoint last_flush{};  ///< when progress was last written
+  TimePoint last_flush{};  ///< when the progress record was last written
 
   // Placement.
   TaskSet waiting;                                            ///< neither done nor assigned
   std::unordered_map<std::uint32_t, Assignment> assignments;  ///< by task
   std::uint32_t running = 0;  ///< assignments that have been reported as running
   std::string last_zone;      ///< where a task last ran
-  /// Progress that checkpoints are known to have kept, in seconds of run time, by task.
+  /// Progress that is known to be saved in checkpoints, in seconds of run time, by task.
   std::unordered_map<std::uint32_t, double> saved_seconds;
 
   // Waiting times.
-  bool first_task_started = false;      ///< a task has been reported
+  bool first_task_started = false;      ///< a worker has reported a task
   bool ran = false;                     ///< a task, or the whole gang, has been reported as running
-  std::optional<TimePoint> idle_since;  ///< while no task is assigned
-  Seconds age_when_assigned{0};         ///< age of the job when it first got room; 0: not yet
+  std::optional<TimePoint> idle_since;  ///< set while no task is assigned
+  Seconds age_when_assigned{0};         ///< age of the job at its first assignment; 0: none yet
 
   // Failures.
   std::set<std::string> failed_on;   ///< machines on which its tasks failed
-  std::uint32_t backoff_rounds = 0;  ///< how often it was delayed after failures
-  TimePoint not_before{};            ///< no task is placed before
+  std::uint32_t backoff_rounds = 0;  ///< number of backoffs after failures
+  TimePoint not_before{};            ///< no task is placed before this time
 
   /// The number of tasks that are not done.
   std::uint32_t unfinished() const { return spec->tasks - done_count; }
--- a/src/cluster/machine.cpp
+++ b/src/cluster/machine.cpp
@@ -5,9 +5,9 @@
 namespace asterstair::cluster {
 namespace {
 
-/// The value for the key in a small list of pairs; added if it is missing.
+/// Returns the value for the key in a small list of pairs; adds it if it is missing.
 template <typename Key, typename Value>
-Value& value_of(std::vector<std::pair<Key, Value>>& entries, const Key& key) {
+Value& find_or_add(std::vector<std::pair<Key, Value>>& entries, const Key& key) {
   auto entry = std::find_if(entries.begin(), entries.end(),
                             [&](const auto& candidate) { return candidate.first == key; });
   if (entry == entries.end()) entry = entries.insert(entry, {key, {}});
@@ -39,14 +39,14 @@
     const TaskAttempt& attempt = entry.second;
     if (!attempt.holds_resources()) continue;
     if (!attempt.job) {
-      usage.unknown = true;
+      usage.has_unknown_jobs = true;
       continue;
     }
     const JobSpec& job = *attempt.job;
     usage.used.add(job);
     if (attempt.stopping()) usage.freeing.add(job);
-    value_of(usage.teams, job.team).add(job);
-    if (job.one_zone || job.spread) ++value_of(usage.zoned, attempt.job);
+    find_or_add(usage.teams, job.team).add(job);
+    if (job.one_zone || job.spread) ++find_or_add(usage.zone_constrained, attempt.job);
   }
   return usage;
 }
--- a/src/cluster/machine_losses.cpp
+++ b/src/cluster/machine_losses.cpp
@@ -3,7 +3,8 @@
 namespace asterstair::cluster {
 namespace {
 
-// Rates are looked up for every start; sizes change slowly.
+// Age at which cached group sizes are recomputed. Loss rates are looked up for every start, while
+// group sizes change slowly.
 constexpr auto kSizesMaxAge = 1s;
 
 }  // namespace
--- a/src/cluster/machine_losses.hpp
+++ b/src/cluster/machine_losses.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// How often machines are lost, by zone and kind.
+/// Rates at which machines are lost, by zone and kind (spot or on-demand).
 
 #include <cstddef>
 #include <map>
@@ -14,20 +14,20 @@
 /// The number of machines by zone and kind.
 using GroupSizes = std::map<sched::LossGroup, std::size_t>;
 
-/// The windowed loss rates of a term, together with the sizes of the groups that they refer to.
+/// The windowed loss rates of a term, and the sizes of the machine groups that they refer to.
 /// Owned by cluster::ClusterState.
 class MachineLosses {
  public:
   /// \param machines outlives this object
   explicit MachineLosses(const MachineTable& machines) : machines_(machines) {}
 
-  /// The machine was lost without a notice.
+  /// Records that the machine was lost without a preemption notice.
   void record(const Machine& machine, TimePoint now);
-  /// Expected losses of this machine a second, as its zone and kind have had them.
+  /// Expected losses of this machine per second, from the losses of its zone and kind.
   double rate_of(const Machine& machine, TimePoint now) const;
   /// The rates by zone and kind.
   const sched::LossRates& rates() const { return rates_; }
-  /// Counts the machines that are reconciled and hold their lease.
+  /// Counts the reconciled machines whose lease has not expired.
   GroupSizes group_sizes() const;
 
  private:
--- a/src/cluster/machine_table.cpp
+++ b/src/cluster/machine_table.cpp
@@ -22,13 +22,13 @@
   }
 }
 
-/// Whether the status shows that the task's image is on the machine.
-bool shows_image(const TaskStatus& status) {
+/// Whether the status implies that the task's image is cached on the machine.
+bool implies_image_cached(const TaskStatus& status) {
   if (status.state == TaskState::Exited) return status.cause == ExitCause::Done;
   return status.state != TaskState::Fetching;
 }
 
-/// The attempt that the status is about; `adopted` if it was not known.
+/// Returns the attempt that the status describes. Adds it, and sets `adopted`, if it was not known.
 TaskAttempt& find_or_adopt(Machine& machine, const TaskStatus& status, bool& adopted) {
   const auto [entry, added] = machine.attempts.try_emplace({status.attempt, status.task});
   adopted = added;
@@ -52,7 +52,7 @@
   const bool begins_to_run = status.state == TaskState::Running && !was_running;
   attempt.state = status.state;
   if (begins_to_run && !attempt.running_since) attempt.running_since = now;
-  if (attempt.job && shows_image(status)) {
+  if (attempt.job && implies_image_cached(status)) {
     machine.image_cache.use(attempt.job->image, attempt.job->image_gb, cache_gb);
   }
   if (status.state == TaskState::Exited) {
@@ -72,22 +72,24 @@
   if (begins_to_run) events.push_back({TaskEvent::Kind::Running, attempt});
 }
 
-/// Whether an attempt that the heartbeat does not name stays. A pending one has not been sent. The
-/// response to an earlier heartbeat may still be under way while a direct command is answered, so
-/// only the next heartbeat settles a start command.
-bool stays_unreported(const TaskAttempt& attempt, MachineTable::Source source) {
+/// Whether an attempt stays in the table although the heartbeat does not list it. The start command
+/// of a pending attempt has not been sent. The response to an earlier heartbeat, with a start
+/// command, may still be in flight while the worker answers a direct command, so only the next
+/// heartbeat shows whether a dispatched attempt has started.
+bool stays_when_unlisted(const TaskAttempt& attempt, MachineTable::Source source) {
   if (attempt.phase == Phase::Pending) return true;
-  return attempt.phase == Phase::Dispatched && source == MachineTable::Source::DirectAnswer;
+  return attempt.phase == Phase::Dispatched && source == MachineTable::Source::DirectResponse;
 }
 
-/// Removes what the heartbeat does not name: it is gone, or was never started. A start command is
-/// settled by the next heartbeat, since the worker drops the response to a heartbeat that it has
-/// given up. A terminated attempt was dropped as acknowledged.
-void remove_unreported(Machine& machine, MachineTable::Source source,
-                       std::vector<TaskEvent>& events) {
+/// Removes the attempts that the heartbeat does not list: they were lost, or never started. A
+/// dispatched attempt that the next heartbeat does not list will not start: the worker drops a
+/// response that arrives after it has given up that heartbeat. A terminated attempt that is not
+/// listed was dropped by the worker after its acknowledgement.
+void remove_unlisted(Machine& machine, MachineTable::Source source,
+                     std::vector<TaskEvent>& events) {
   for (auto entry = machine.attempts.begin(); entry != machine.attempts.end();) {
     const TaskAttempt& attempt = entry->second;
-    if (attempt.observed_sequence == machine.sequence || stays_unreported(attempt, source)) {
+    if (attempt.observed_sequence == machine.sequence || stays_when_unlisted(attempt, source)) {
       ++entry;
       continue;
     }
@@ -124,21 +126,22 @@
   machine.usage_stale = true;
 }
 
-MachineTable::Order MachineTable::apply(const Heartbeat& heartbeat, TimePoint now, double cache_gb,
-                                        std::vector<TaskEvent>& events, Source source) {
+MachineTable::ApplyResult MachineTable::apply(const Heartbeat& heartbeat, TimePoint now,
+                                              double cache_gb, std::vector<TaskEvent>& events,
+                                              Source source) {
   Machine& machine = machines_[heartbeat.machine];
-  // Once a lease has expired here, heartbeats of its epoch are late, however new they look: the
-  // worker has killed and forgotten all of it.
-  if (heartbeat.epoch < machine.first_valid_epoch) return Order::Late;
+  // Once the leader has seen a lease expire, all heartbeats of its epoch are stale, even with a
+  // higher sequence number: the worker has killed and forgotten all tasks of that epoch.
+  if (heartbeat.epoch < machine.first_valid_epoch) return ApplyResult::Stale;
   const HeartbeatPosition position{heartbeat.epoch, heartbeat.sequence};
   const HeartbeatPosition applied{machine.epoch, machine.sequence};
-  if (machine.reconciled && position <= applied) return Order::Late;
-  // A new epoch begins after the worker has killed and forgotten all tasks.
+  if (machine.reconciled && position <= applied) return ApplyResult::Stale;
+  // A worker kills and forgets all tasks before it begins a new epoch.
   if (heartbeat.epoch > machine.epoch) clear(machine, events);
   update_machine(machine, heartbeat, now);
   for (const auto& status : heartbeat.tasks) update_attempt(machine, status, now, cache_gb, events);
-  remove_unreported(machine, source, events);
-  return Order::New;
+  remove_unlisted(machine, source, events);
+  return ApplyResult::Applied;
 }
 
 }  // namespace asterstair::cluster
--- a/src/cluster/task_set.cpp
+++ b/src/cluster/task_set.cpp
@@ -4,14 +4,14 @@
 
 namespace asterstair::cluster {
 
-TaskSet::Runs::const_iterator TaskSet::run_of(std::uint32_t task) const {
+TaskSet::Runs::const_iterator TaskSet::find_run(std::uint32_t task) const {
   const auto next = runs_.upper_bound(task);
   if (next == runs_.begin()) return runs_.end();
   const auto run = std::prev(next);
   return run->second >= task ? run : runs_.end();
 }
 
-bool TaskSet::contains(std::uint32_t task) const { return run_of(task) != runs_.end(); }
+bool TaskSet::contains(std::uint32_t task) const { return find_run(task) != runs_.end(); }
 
 void TaskSet::clear() {
   runs_.clear();
@@ -38,7 +38,7 @@
 }
 
 void TaskSet::erase(std::uint32_t task) {
-  const auto run = run_of(task);
+  const auto run = find_run(task);
   if (run == runs_.end()) return;
   --size_;
   const auto [first, last] = *run;
--- a/src/cluster/team_usage.hpp
+++ b/src/cluster/team_usage.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What each team's tasks hold on all machines.
+/// The resources that each team's tasks hold on all machines.
 
 #include <map>
 #include <string>
@@ -10,13 +10,13 @@
 
 namespace asterstair::cluster {
 
-/// The sum of all machines' usage by team, kept up to date machine by machine.
+/// The usage of all machines, summed by team and updated machine by machine.
 /// Owned by cluster::ClusterState.
 class TeamUsage {
  public:
-  /// Recomputes the machine's usage if it is stale, and takes over the difference.
+  /// Recomputes the machine's usage if it is stale, and adds the difference to the sums.
   void refresh(Machine& machine);
-  /// What the team's tasks hold, as of the last refresh of each machine.
+  /// The resources that the team's tasks hold, as of the last refresh of each machine.
   sched::Resources of(const std::string& team) const;
 
  private:
--- a/src/leader/direct_command_dispatcher.hpp
+++ b/src/leader/direct_command_dispatcher.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Commands that are sent straight to workers, without waiting for their next heartbeat.
+/// Sends commands directly to workers, without waiting for their next heartbeats.
 
 #include <deque>
 #include <functional>
@@ -12,45 +12,45 @@
 
 namespace asterstair::leader {
 
-/// A command and the machine that it is for.
+/// A command and the machine that it is sent to.
 struct DirectCommand {
   /// Name of the machine.
   std::string machine;
-  /// What its worker is told.
+  /// The command for its worker.
   Command command;
 };
 
-/// A bounded queue of direct commands, a bounded number of them in flight. Only stops are sent so:
-/// they may be repeated and lost, since the responses to heartbeats say the same. Direct commands
-/// do not renew a worker's lease. Owned by Term.
+/// A bounded queue of direct commands, of which a bounded number is in flight. Only stop commands
+/// are sent directly: they may be repeated or lost, since the responses to heartbeats repeat them.
+/// Direct commands do not renew a worker's lease. Owned by Term.
 class DirectCommandDispatcher {
  public:
-  /// Whether the response to a command, which is the worker's status after it, is wanted.
+  /// What happens to the response to a command, which holds the worker's status after the command.
   enum class Response {
-    Ignore,  ///< it is dropped
-    Apply    ///< it is handed to `on_response`
+    Ignore,  ///< it is ignored
+    Apply    ///< it is passed to `on_response`
   };
 
-  /// \param on_response receives the responses that are wanted
+  /// \param on_response receives the responses to commands that were sent with Response::Apply
   DirectCommandDispatcher(const TermContext& context, const cluster::MachineTable& machines,
                           std::function<void(const Heartbeat&)> on_response)
       : context_(context), machines_(machines), on_response_(std::move(on_response)) {}
 
-  /// Queues the commands, one request for each machine. Those that cannot be sent within a
-  /// heartbeat interval are dropped.
+  /// Queues the commands, as one request per machine. Requests that cannot be sent within a
+  /// heartbeat interval, or that exceed the queue's limit, are dropped.
   void send(const std::vector<DirectCommand>& commands, Response response = Response::Ignore);
 
  private:
   struct Request {
     std::string machine;
     std::vector<Command> commands;
-    TimePoint give_up_at;
+    TimePoint deadline;
     Response response = Response::Ignore;
   };
 
   void send_queued();
   void send_request(const Request& request, const cluster::Machine& machine);
-  void on_answer(const HttpResponse& answer, Response response);
+  void on_http_response(const HttpResponse& http_response, Response response);
 
   const TermContext& context_;
   const cluster::MachineTable& machines_;
--- a/src/leader/heartbeat_commands.cpp
+++ b/src/leader/heartbeat_commands.cpp
@@ -7,7 +7,7 @@
 using cluster::Machine;
 using cluster::TaskAttempt;
 
-// In one response, which must not exceed the length that PROTOCOL allows.
+// Maximum in one response, so that its length does not exceed the protocol's limit.
 constexpr std::size_t kMaxCommands = 300;
 
 }  // namespace
@@ -44,7 +44,8 @@
   return commands;
 }
 
-// No task may run whose job is not live; looked up here so that no path can miss it.
+// Tasks of jobs that are not live must be stopped. The job is looked up here, where all stop
+// commands for applied heartbeats are made, so that no case is missed.
 std::optional<Command> HeartbeatCommands::stop_for(Machine& machine, TaskAttempt& attempt) const {
   if (!attempt.stopping() && cluster_.jobs.find(attempt.task.job) == nullptr) {
     machine.request_stop(attempt, Seconds(0));
@@ -55,14 +56,14 @@
   return Command{Command::Op::Stop, attempt.task, attempt.attempt, *attempt.stop_grace};
 }
 
-// A completed task is acknowledged only once that is durable.
+// A completed task is acknowledged only once its completion is durable.
 bool HeartbeatCommands::may_acknowledge(const TaskAttempt& attempt) const {
   if (attempt.acknowledge) return true;
   const Job* job = cluster_.jobs.find(attempt.task.job);
   return job == nullptr || (attempt.cause == ExitCause::Done && job->durable[attempt.task.index]);
 }
 
-// Marks as dispatched only what fits into the response.
+// Adds start commands up to the limit of a response. Attempts beyond it stay pending.
 void HeartbeatCommands::add_starts(Machine& machine, std::vector<Command>& commands) const {
   if (!machine.registered || launches_suspended_ || !health_.schedulable(machine)) return;
   for (auto& [id, attempt] : machine.attempts) {
--- a/src/leader/heartbeat_commands.hpp
+++ b/src/leader/heartbeat_commands.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The commands in the response to a heartbeat.
+/// Decides which commands the response to a heartbeat contains.
 
 #include <cstdint>
 #include <optional>
@@ -14,9 +14,8 @@
 
 namespace asterstair::leader {
 
-/// Decides what a worker is told in the response to its heartbeat: stops first, then
-/// acknowledgements, then starts. Starts and acknowledgements travel in no other way. Owned by
-/// Term.
+/// Makes the commands in the response to a heartbeat: stops first, then acknowledgements, then
+/// starts. Starts and acknowledgements are sent only in these responses. Owned by Term.
 class HeartbeatCommands {
  public:
   /// All references outlive this object.
@@ -24,17 +23,18 @@
                     AttemptTracker& attempts, const GangController& gangs)
       : cluster_(cluster), health_(health), attempts_(attempts), gangs_(gangs) {}
 
-  /// The commands for a machine whose heartbeat has just been applied. Marks the starts among them
-  /// as dispatched.
+  /// The commands for a machine whose heartbeat has just been applied. Marks the attempts that they
+  /// start as dispatched.
   std::vector<Command> commands_for(cluster::Machine& machine);
-  /// Stops for the reported tasks whose jobs are not live, for heartbeats that are not applied.
-  /// Each response may renew the worker's lease, so none may leave such a task running: through one
-  /// leader after the other it could outlast `cancel_s`. A task that an earlier leader started was
-  /// live when this term's view was requested, or its job had ended.
+  /// Stop commands for the reported tasks whose jobs are not live; used for heartbeats that are not
+  /// applied. Each response may renew the worker's lease, so no response may leave such a task
+  /// running: over several changes of leader it could run for longer than `cancel_s` after its
+  /// cancellation. The lookup is safe for tasks that an earlier leader started: their jobs were
+  /// already live when this term requested its view of the live jobs, or had ended by then.
   std::vector<Command> stops_for_ended_jobs(const Heartbeat& heartbeat) const;
 
-  /// While suspended, no task is started: other nodes may confirm cancellations that this one
-  /// cannot see.
+  /// Suspends or resumes start commands. They are suspended while other nodes may confirm
+  /// cancellations that this node cannot see.
   void suspend_launches(bool suspended) { launches_suspended_ = suspended; }
 
  private:
--- a/src/leader/heartbeat_handler.cpp
+++ b/src/leader/heartbeat_handler.cpp
@@ -10,10 +10,11 @@
 using cluster::MachineTable;
 using cluster::TaskEvent;
 
-// Beyond the longest time between two heartbeats of a worker.
+// Added to the maximum time between two heartbeats of a worker.
 constexpr auto kHeartbeatGrace = 500ms;
-// So many machines are not at fault at the same time.
-constexpr std::ptrdiff_t kSeveralMachines = 3;
+// Number of silent machines from which the leader attributes the silence to its own node: that many
+// machines do not fail at the same time.
+constexpr std::ptrdiff_t kMinSilentMachines = 3;
 
 }  // namespace
 
@@ -37,8 +38,8 @@
 HeartbeatResponse HeartbeatHandler::on_heartbeat(const Heartbeat& heartbeat) {
   last_heartbeat_at_ = context_.now();
   any_heartbeat_ = true;
-  // A late copy: the cloud has confirmed that the machine is gone, and names are not used twice.
-  if (returned_.gone(heartbeat.machine)) {
+  // A late copy: the cloud has confirmed that the machine is terminated, and names are not reused.
+  if (returned_.terminated(heartbeat.machine)) {
     return {HeartbeatResponse::Outcome::Accepted, context_.token, {}};
   }
   Machine& machine = find_or_add(heartbeat.machine);
@@ -46,12 +47,13 @@
   const HeartbeatPosition position{heartbeat.epoch, heartbeat.sequence};
   if (position > machine.latest_heartbeat) {
     if (!saw_token && health_.never_saw_token(machine)) {
-      return {HeartbeatResponse::Outcome::AnswersLost, 0, {}};
+      return {HeartbeatResponse::Outcome::ResponsesLost, 0, {}};
     }
-    count_renewal(machine, heartbeat);
+    record_renewal(machine, heartbeat);
   }
-  // Sent before the worker knew this leader: what it shows may be older than what the last leader
-  // did. The response carries the token; the next heartbeat counts.
+  // The worker sent this heartbeat before it saw this leader's token, so it may not show the last
+  // commands of the previous leader. It is not applied. The response carries the token, so the next
+  // heartbeat can be applied.
   if (!saw_token) return stops_only(heartbeat);
   return apply(machine, heartbeat);
 }
@@ -65,16 +67,17 @@
   return machine;
 }
 
-// A response renews the worker's lease from when the heartbeat was sent. A heartbeat that is not
-// newer than one that has arrived was sent before that one arrived, so a response to it renews the
-// lease no further than was counted then. Late copies must not keep a dead machine's tasks waiting.
-void HeartbeatHandler::count_renewal(Machine& machine, const Heartbeat& heartbeat) const {
+// A response renews the worker's lease from the time at which the worker sent the heartbeat. A
+// heartbeat that is not newer than one that has arrived was sent before that one arrived, so a
+// response to it cannot renew the lease beyond the time that was recorded then. It is not recorded
+// again: otherwise late copies of a dead machine's heartbeats would delay the restart of its tasks.
+void HeartbeatHandler::record_renewal(Machine& machine, const Heartbeat& heartbeat) const {
   const auto now = context_.now();
-  if (!machine.first_answered) machine.first_answered = now;
+  if (!machine.first_response_at) machine.first_response_at = now;
   machine.latest_heartbeat = {heartbeat.epoch, heartbeat.sequence};
   // Until the worker has seen this leader's token, an earlier leader whose lease is still valid may
-  // renew the worker's lease as well.
-  machine.last_answered =
+  // also renew the worker's lease.
+  machine.latest_possible_renewal =
       heartbeat.token == context_.token ? now : std::max(now, context_.previous_leaders_expiry);
 }
 
@@ -86,11 +89,11 @@
 HeartbeatResponse HeartbeatHandler::apply(Machine& machine, const Heartbeat& heartbeat) {
   const bool epoch_lost = machine.reconciled && heartbeat.epoch > machine.epoch;
   std::vector<TaskEvent> events;
-  const auto order =
+  const auto result =
       cluster_.machines.apply(heartbeat, context_.now(), cache_capacity_gb(heartbeat.type), events);
-  if (order == MachineTable::Order::Late) return stops_only(heartbeat);
+  if (result == MachineTable::ApplyResult::Stale) return stops_only(heartbeat);
   recovery_.stop_awaiting(machine.id);
-  if (!machine.registered) registry_.request(machine.id);
+  if (!machine.registered) registry_.request_registration(machine.id);
   if (epoch_lost) health_.on_epoch_lost(machine);
   attempts_.apply(machine, events);
   health_.on_heartbeat(machine, events);
@@ -105,23 +108,23 @@
   if (machine == nullptr || !machine->reconciled || machine->lease_expired) return;
   if (heartbeat.token != context_.token || heartbeat.epoch != machine->epoch) return;
   std::vector<TaskEvent> events;
-  const auto order =
+  const auto result =
       cluster_.machines.apply(heartbeat, context_.now(), cache_capacity_gb(heartbeat.type), events,
-                              MachineTable::Source::DirectAnswer);
-  if (order == MachineTable::Order::Late) return;
+                              MachineTable::Source::DirectResponse);
+  if (result == MachineTable::ApplyResult::Stale) return;
   attempts_.apply(*machine, events);
   scheduling_.run_if_requested();
 }
 
 bool HeartbeatHandler::heartbeats_lost() const {
-  const auto longest_gap = context_.settings.heartbeat_interval * 5 / 4 + kHeartbeatGrace;
-  if (!recovery_.recovered() || context_.now() - last_heartbeat_at_ < longest_gap) return false;
+  const auto max_gap = context_.settings.heartbeat_interval * 5 / 4 + kHeartbeatGrace;
+  if (!recovery_.recovered() || context_.now() - last_heartbeat_at_ < max_gap) return false;
   const auto& machines = cluster_.machines.all();
   const auto expected = std::count_if(machines.begin(), machines.end(), [](const auto& entry) {
     const Machine& machine = entry.second;
     return !machine.lease_expired && (machine.reconciled || machine.registered);
   });
-  return expected >= kSeveralMachines;
+  return expected >= kMinSilentMachines;
 }
 
 double HeartbeatHandler::cache_capacity_gb(const std::string& type) const {
--- a/src/leader/heartbeat_handler.hpp
+++ b/src/leader/heartbeat_handler.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Heartbeats of workers: which count, what they change, and what they are answered.
+/// Handles the heartbeats of workers: decides which are applied, and answers them.
 
 #include <cstdint>
 #include <vector>
@@ -18,22 +18,22 @@
 
 namespace asterstair::leader {
 
-/// The answer to a heartbeat. src/node turns it into HTTP.
+/// The response to a heartbeat. src/node encodes it as HTTP.
 struct HeartbeatResponse {
-  /// Whether the heartbeat is answered with commands.
+  /// Whether the heartbeat is accepted.
   enum class Outcome {
-    Accepted,    ///< the worker's lease is renewed
-    AnswersLost  ///< refused: responses do not reach the worker, so its lease is left to expire
+    Accepted,      ///< the worker's lease is renewed
+    ResponsesLost  ///< refused: responses do not reach the worker, so its lease is left to expire
   };
-  /// Whether the heartbeat is answered with commands.
+  /// Whether the heartbeat is accepted.
   Outcome outcome = Outcome::Accepted;
   std::uint64_t token = 0;        ///< Accepted: the fencing token
-  std::vector<Command> commands;  ///< Accepted: to be carried out in this order
+  std::vector<Command> commands;  ///< Accepted: commands, to be executed in this order
 };
 
-/// Applies heartbeats to the machine table. Counts each worker's lease on the safe side: a response
-/// renews it from when the heartbeat was sent, so only a heartbeat that is newer than all before
-/// moves the time at which the lease surely expires. Owned by Term.
+/// Applies heartbeats to the machine table. Records an upper bound of the last renewal of each
+/// worker's lease: a response renews the lease from the time at which the heartbeat was sent, so
+/// only a heartbeat that is newer than all earlier ones moves the bound. Owned by Term.
 class HeartbeatHandler {
  public:
   /// All references outlive the handler.
@@ -42,24 +42,25 @@
                    MachineRegistry& registry, WorkerHealth& health, AttemptTracker& attempts,
                    GangController& gangs, HeartbeatCommands& commands, SchedulingLoop& scheduling);
 
-  /// Handles a heartbeat. To be called only while TermRecovery::view_is_fresh(), since each
+  /// Handles a heartbeat. Must be called only while TermRecovery::view_is_fresh(), since each
   /// response may renew a lease.
   HeartbeatResponse on_heartbeat(const Heartbeat& heartbeat);
-  /// Handles the response to a direct command, which shows at once what the next heartbeat would:
-  /// resources that have come free, above all. It renews no lease.
+  /// Handles the response to a direct command. It shows the worker's status earlier than the next
+  /// heartbeat, above all resources that are free again. It does not renew the lease.
   void on_direct_response(const Heartbeat& heartbeat);
 
-  /// Whether no heartbeat has come for so long, from several machines, that they cannot all be at
-  /// fault: this node must be.
+  /// Whether no heartbeat has arrived for longer than the maximum time between two heartbeats,
+  /// though several machines are expected to send them. The cause is then taken to be this node,
+  /// since several machines do not fail at the same time.
   bool heartbeats_lost() const;
-  /// When the last heartbeat came; if none has in this term, when the term began.
+  /// When the last heartbeat arrived; if none has arrived in this term, when the term began.
   TimePoint last_heartbeat_at() const { return last_heartbeat_at_; }
-  /// Whether a heartbeat has come in this term.
+  /// Whether a heartbeat has arrived in this term.
   bool any_heartbeat() const { return any_heartbeat_; }
 
  private:
   cluster::Machine& find_or_add(const std::string& id);
-  void count_renewal(cluster::Machine& machine, const Heartbeat& heartbeat) const;
+  void record_renewal(cluster::Machine& machine, const Heartbeat& heartbeat) const;
   HeartbeatResponse stops_only(const Heartbeat& heartbeat) const;
   HeartbeatResponse apply(cluster::Machine& machine, const Heartbeat& heartbeat);
   double cache_capacity_gb(const std::string& type) const;
--- a/src/leader/lease_monitor.cpp
+++ b/src/leader/lease_monitor.cpp
@@ -15,7 +15,7 @@
   const Seconds drifted_lease(seconds(context_.settings.lease) * (1 + kClockDrift));
   const Duration expiry = to_duration(drifted_lease) + kLeaseMargin;
   for (auto& [id, machine] : cluster_.machines.all()) {
-    if (!machine.lease_expired && now - machine.last_answered > expiry) expire(machine);
+    if (!machine.lease_expired && now - machine.latest_possible_renewal > expiry) expire(machine);
   }
 }
 
@@ -23,8 +23,9 @@
   machine.lease_expired = true;
   registry_.mark_stale();
   recovery_.stop_awaiting(machine.id);
-  machine.first_answered.reset();
-  // Heartbeats under an earlier token count as well: their responses renewed the lease no later.
+  machine.first_response_at.reset();
+  // Includes heartbeats with an earlier token: the lease of their epoch has expired too, since no
+  // response to them renewed it later than `latest_possible_renewal`.
   machine.first_valid_epoch = std::max(machine.epoch, machine.latest_heartbeat.epoch) + 1;
   if (machine.reconciled && !machine.reclaim_at) {
     cluster_.losses.record(machine, context_.now());
--- a/src/leader/lease_monitor.hpp
+++ b/src/leader/lease_monitor.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Decides when the lease of a worker has expired.
+/// Decides when the leases of workers have expired.
 
 #include "cluster/cluster_state.hpp"
 #include "leader/attempt_tracker.hpp"
@@ -10,10 +10,11 @@
 
 namespace asterstair::leader {
 
-/// Expires machines whose last renewal, as far as this leader can know, is longer ago than a lease,
-/// clock drift and kLeaseMargin together. Such a worker has killed all its tasks: the attempts
-/// there end, their tasks wait for new ones, the loss counts in the loss rates, and whatever the
-/// worker still says of the expired epoch is late. Owned by Term.
+/// Expires the lease of a machine whose latest possible renewal is longer ago than the sum of the
+/// lease, the clock drift and kLeaseMargin. By then the worker has killed all its tasks, so the
+/// attempts there end and their tasks wait to be assigned again. The loss is included in the loss
+/// rates, unless the machine's preemption was announced. Later heartbeats of the expired epoch are
+/// stale. Owned by Term.
 class LeaseMonitor {
  public:
   /// All references outlive the monitor.
@@ -25,7 +26,7 @@
         registry_(registry),
         recovery_(recovery) {}
 
-  /// Expires the leases that have run out by now.
+  /// Expires the leases whose time is up.
   void expire_leases();
 
  private:
--- a/src/leader/machine_registry.cpp
+++ b/src/leader/machine_registry.cpp
@@ -11,7 +11,7 @@
 
 using cluster::Machine;
 
-constexpr std::size_t kBytesPerName = 40;  // reserved in a chunk
+constexpr std::size_t kBytesPerName = 40;  // space reserved in a chunk for one machine name
 
 }  // namespace
 
@@ -32,52 +32,54 @@
   return names;
 }
 
-bool MachineRegistry::present(const std::string& name) const {
+bool MachineRegistry::may_hold_tasks(const std::string& name) const {
   const Machine* machine = machines_.find(name);
   return machine != nullptr && !machine->lease_expired;
 }
 
-// Machines that are gone, or registered already, need not be added.
-void MachineRegistry::drop_settled_additions() {
+// Drops the additions of machines that have been removed or are already registered.
+void MachineRegistry::drop_obsolete_additions() {
   std::erase_if(additions_, [this](const std::string& name) {
     const Machine* machine = machines_.find(name);
     return machine == nullptr || machine->registered;
   });
 }
 
-// The first chunk that names machines that are gone, or has room for additions; a new one if need
-// be.
+// Returns the first chunk that has room for pending additions, or lists machines that have been
+// removed or whose lease has expired. Adds a chunk if there are additions and no chunk has room.
 std::optional<std::size_t> MachineRegistry::chunk_to_write(std::size_t names_per_chunk) {
   for (std::size_t chunk = 0; chunk < chunks_.size(); ++chunk) {
     const auto& names = chunks_[chunk];
     if (!additions_.empty() && names.size() < names_per_chunk) return chunk;
-    const bool all_present = std::all_of(names.begin(), names.end(),
-                                         [this](const std::string& name) { return present(name); });
-    if (!all_present) return chunk;
+    const bool all_current =
+        std::all_of(names.begin(), names.end(),
+                    [this](const std::string& name) { return may_hold_tasks(name); });
+    if (!all_current) return chunk;
   }
   if (additions_.empty()) return std::nullopt;
   chunks_.emplace_back();
   return chunks_.size() - 1;
 }
 
-std::set<std::string> MachineRegistry::present_in(std::size_t chunk) const {
+std::set<std::string> MachineRegistry::names_to_keep(std::size_t chunk) const {
   std::set<std::string> names;
   std::copy_if(chunks_[chunk].begin(), chunks_[chunk].end(), std::inserter(names, names.end()),
-               [this](const std::string& name) { return present(name); });
+               [this](const std::string& name) { return may_hold_tasks(name); });
   return names;
 }
 
-// Done before the write is sent: a machine that comes back gets no work until it is registered
+// Marks the machines that the next write removes from the chunk as not registered. This is done
+// before the write is sent, so that a machine that returns gets no work until it is registered
 // again.
-void MachineRegistry::unregister_absent(std::size_t chunk,
-                                        const std::set<std::string>& present_names) {
+void MachineRegistry::unregister_missing(std::size_t chunk,
+                                         const std::set<std::string>& kept_names) {
   for (const auto& name : chunks_[chunk]) {
-    if (present_names.count(name) != 0) continue;
+    if (kept_names.count(name) != 0) continue;
     if (Machine* machine = machines_.find(name)) machine->registered = false;
   }
 }
 
-// Fills the chunk's names up with additions, and returns these.
+// Fills the chunk's names up with additions, and returns the added names.
 std::vector<std::string> MachineRegistry::take_additions(std::set<std::string>& names,
                                                          std::size_t names_per_chunk) const {
   std::vector<std::string> added;
@@ -91,7 +93,7 @@
 
 void MachineRegistry::write() {
   if (write_in_flight_) return;
-  drop_settled_additions();
+  drop_obsolete_additions();
   if (!stale_ && additions_.empty()) return;
   const std::size_t names_per_chunk = context_.settings.value_bytes / kBytesPerName;
   const auto chunk = chunk_to_write(names_per_chunk);
@@ -99,8 +101,8 @@
     stale_ = false;
     return;
   }
-  auto names = present_in(*chunk);
-  unregister_absent(*chunk, names);
+  auto names = names_to_keep(*chunk);
+  unregister_missing(*chunk, names);
   auto added = take_additions(names, names_per_chunk);
   const std::vector<std::string> record(names.begin(), names.end());
   wire::Txn txn;
--- a/src/leader/machine_registry.hpp
+++ b/src/leader/machine_registry.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The durable list of machines that may hold tasks.
+/// The durable registry of the machines that may run tasks.
 
 #include <optional>
 #include <set>
@@ -13,31 +13,32 @@
 
 namespace asterstair::leader {
 
-/// Keeps the registry in the store, in chunks. A machine is registered before its first start, so
-/// that the next leader waits for it before it starts the same tasks elsewhere. Owned by Term.
+/// Keeps the registry in the store, in chunks. A machine is registered before the first start
+/// command is sent to it, so that the next leader waits for its heartbeat or the expiry of its
+/// lease before it starts the same tasks elsewhere. Owned by Term.
 class MachineRegistry {
  public:
   /// All references outlive the registry.
   MachineRegistry(const TermContext& context, cluster::MachineTable& machines, FencedWriter& writer)
       : context_(context), machines_(machines), writer_(writer) {}
 
-  /// Forgets what was loaded; load_chunk() follows for each chunk that the store has.
+  /// Discards the loaded chunks. Must be followed by load_chunk() for each chunk in the store.
   void begin_load();
-  /// Takes over a chunk, and returns the names in it.
+  /// Loads a chunk, and returns the machine names in it.
   std::set<std::string> load_chunk(const wire::Item& item);
-  /// The machine is to be registered; Machine::registered tells when that is durable.
-  void request(const std::string& machine) { additions_.insert(machine); }
-  /// The registry may name machines that are gone.
+  /// Requests that the machine be registered. Machine::registered is set once that is durable.
+  void request_registration(const std::string& machine) { additions_.insert(machine); }
+  /// Records that the registry may list machines that have been removed or whose lease has expired.
   void mark_stale() { stale_ = true; }
-  /// Writes one chunk that differs from what it should be, if there is one and none is under way.
+  /// Writes one out-of-date chunk, if there is one and no write is in flight.
   void write();
 
  private:
-  bool present(const std::string& machine) const;
-  void drop_settled_additions();
+  bool may_hold_tasks(const std::string& machine) const;
+  void drop_obsolete_additions();
   std::optional<std::size_t> chunk_to_write(std::size_t names_per_chunk);
-  std::set<std::string> present_in(std::size_t chunk) const;
-  void unregister_absent(std::size_t chunk, const std::set<std::string>& present_names);
+  std::set<std::string> names_to_keep(std::size_t chunk) const;
+  void unregister_missing(std::size_t chunk, const std::set<std::string>& kept_names);
   std::vector<std::string> take_additions(std::set<std::string>& names,
                                           std::size_t names_per_chunk) const;
   void on_written(std::size_t chunk, const std::set<std::string>& names,
@@ -46,7 +47,7 @@
   const TermContext& context_;
   cluster::MachineTable& machines_;
   FencedWriter& writer_;
-  std::vector<std::set<std::string>> chunks_;  // as durable
+  std::vector<std::set<std::string>> chunks_;  // as stored
   std::set<std::string> additions_;
   bool write_in_flight_ = false;
   bool stale_ = false;
--- a/src/leader/machine_removal.cpp
+++ b/src/leader/machine_removal.cpp
@@ -26,7 +26,7 @@
          machine->attempts.empty();
 }
 
-void MachineRemoval::on_gone(const std::string& id) {
+void MachineRemoval::on_terminated(const std::string& id) {
   returned_.confirm(id);
   Machine* machine = cluster_.machines.find(id);
   if (machine == nullptr) return;
--- a/src/leader/machine_removal.hpp
+++ b/src/leader/machine_removal.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Taking machines out of service, as the autoscaler asks.
+/// Takes machines out of service at the autoscaler's request.
 
 #include <string>
 
@@ -12,7 +12,7 @@
 
 namespace asterstair::leader {
 
-/// Drains machines, keeps work off those that are being returned, and forgets those that are gone.
+/// Drains machines, keeps work off machines that are being returned, and removes terminated ones.
 /// Owned by Term.
 class MachineRemoval {
  public:
@@ -25,15 +25,16 @@
         returned_(returned),
         recovery_(recovery) {}
 
-  /// The machine gets no new work; what is on it ends or is stopped.
+  /// Drains the machine: it gets no new work, and its attempts end or are stopped.
   void drain(const std::string& id);
-  /// The machine's return is about to be made durable, or was by an earlier leader: the cloud may
-  /// take it any time. It gets no work, not even if it is not known yet and comes up later.
+  /// Marks the machine as being returned. Its return is about to become durable, or an earlier
+  /// leader has made it durable, so the cloud may terminate the machine any time. It gets no work,
+  /// even if it is not known yet and sends its first heartbeat later.
   void begin_return(const std::string& id);
-  /// Whether the machine gets no new work and is known to have none.
+  /// Whether the machine gets no new work and is known to hold no attempts.
   bool known_empty(const std::string& id) const;
-  /// The cloud has confirmed that the machine and all on it are gone.
-  void on_gone(const std::string& id);
+  /// Removes a machine whose termination the cloud has confirmed, and ends the attempts on it.
+  void on_terminated(const std::string& id);
 
  private:
   cluster::ClusterState& cluster_;
--- a/src/leader/returned_machines.hpp
+++ b/src/leader/returned_machines.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Machines that the cloud is taking back, or has taken back.
+/// Machines that are being returned to the cloud, or have been returned.
 
 #include <cstddef>
 #include <set>
@@ -8,29 +8,31 @@
 
 namespace asterstair::leader {
 
-/// Remembers returned machines by name, since late copies of their heartbeats come within minutes.
-/// Names are never used twice. Owned by Term.
+/// Records returned machines by name, so that late copies of their heartbeats, which may arrive for
+/// minutes, can be recognized. Names are never reused. Owned by Term.
 class ReturnedMachines {
  public:
-  /// The machine's return is about to be made durable, or was by an earlier leader.
+  /// Records that the machine is being returned: its return is about to become durable, or an
+  /// earlier leader has made it durable.
   void begin(const std::string& machine) { returning_.insert(machine); }
-  /// The cloud has confirmed that the machine is gone.
+  /// Records that the cloud has confirmed the machine's termination.
   void confirm(const std::string& machine) {
     returning_.erase(machine);
-    gone_.insert(machine);
-    // Names come in the order of creation: the first are the least likely to be met again.
-    if (gone_.size() > kMaxGone) gone_.erase(gone_.begin());
+    terminated_.insert(machine);
+    // Names sort by creation, so the first one is the oldest: its late heartbeats are the least
+    // likely.
+    if (terminated_.size() > kMaxTerminated) terminated_.erase(terminated_.begin());
   }
-  /// Whether the machine's return has begun and is not confirmed.
+  /// Whether the machine's return has begun and its termination is not confirmed.
   bool returning(const std::string& machine) const { return returning_.count(machine) != 0; }
-  /// Whether the cloud has confirmed that the machine is gone.
-  bool gone(const std::string& machine) const { return gone_.count(machine) != 0; }
+  /// Whether the cloud has confirmed the machine's termination.
+  bool terminated(const std::string& machine) const { return terminated_.count(machine) != 0; }
 
  private:
-  static constexpr std::size_t kMaxGone = 20000;
+  static constexpr std::size_t kMaxTerminated = 20000;  // limits the memory for names
 
   std::set<std::string> returning_;
-  std::set<std::string> gone_;
+  std::set<std::string> terminated_;
 };
 
 }  // namespace asterstair::leader
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -80,7 +80,7 @@
   AvoidedMachines avoided(input.jobs.size());
   for (std::size_t job = 0; job < input.jobs.size(); ++job) {
     const auto& failed_on = input.jobs[job]->failed_on;
-    if (failed_on.empty() || failed_on.size() >= WorkerHealth::kMaxMachinesAtFault) continue;
+    if (failed_on.empty() || failed_on.size() >= WorkerHealth::kMinMachinesForFaultyJob) continue;
     for (std::size_t machine = 0; machine < input.machines.size(); ++machine) {
       if (failed_on.count(input.machines[machine]->id) != 0) avoided[job].insert(machine);
     }
--- a/src/leader/snapshot_builder.cpp
+++ b/src/leader/snapshot_builder.cpp
@@ -42,9 +42,10 @@
   const auto now = context_.now();
   for (auto& [id, machine] : cluster_.machines.all()) {
     cluster_.team_usage.refresh(machine);
-    for (const auto& [job, tasks] : machine.usage.zoned) in_zone[job->id][machine.zone] += tasks;
+    for (const auto& [job, tasks] : machine.usage.zone_constrained)
+      in_zone[job->id][machine.zone] += tasks;
     const auto* type = context_.catalog.find(machine.type);
-    if (machine.usage.unknown) {
+    if (machine.usage.has_unknown_jobs) {
       unknown_use.add(type == nullptr ? kUnboundedResources
                                       : sched::Resources{type->cpus, type->gpus, 0});
       unknown_use.add(machine.usage.used, -1);
--- a/src/leader/term.hpp
+++ b/src/leader/term.hpp
@@ -111,8 +111,8 @@
   void begin_return(const std::string& machine) { removal_.begin_return(machine); }
   /// See MachineRemoval::known_empty.
   bool known_empty(const std::string& machine) const { return removal_.known_empty(machine); }
-  /// See MachineRemoval::on_gone.
-  void machine_gone(const std::string& machine) { removal_.on_gone(machine); }
+  /// See MachineRemoval::on_terminated.
+  void machine_gone(const std::string& machine) { removal_.on_terminated(machine); }
   /// See Consolidator::consolidate.
   void consolidate(const std::function<bool(const cluster::Machine&)>& may_spare) {
     consolidator_.consolidate(may_spare);
--- a/src/leader/term_recovery.cpp
+++ b/src/leader/term_recovery.cpp
@@ -157,15 +157,15 @@
 
 void TermRecovery::adopt_registered(const std::string& name) {
   // The operation log, which may have been read before, tells that it has been returned.
-  if (returned_.gone(name)) return;
+  if (returned_.terminated(name)) return;
   Machine& machine = cluster_.machines.at(name);
   machine.id = name;
   machine.registered = true;
   if (returned_.returning(name)) machine.service = Machine::Service::Returning;
   if (!machine.reconciled && !machine.lease_expired) pending_.insert(name);
   // No earlier leader answers after that; its responses renewed the lease no later.
-  if (machine.last_answered == TimePoint{}) {
-    machine.last_answered = context_.previous_leaders_expiry;
+  if (machine.latest_possible_renewal == TimePoint{}) {
+    machine.latest_possible_renewal = context_.previous_leaders_expiry;
   }
 }
 
--- a/src/leader/worker_health.cpp
+++ b/src/leader/worker_health.cpp
@@ -11,18 +11,20 @@
 using cluster::TaskAttempt;
 using cluster::TaskEvent;
 
-// Epochs, and responses with start commands, that are lost in a row before a machine counts as
-// unresponsive. One of each is lost in a short interruption.
-constexpr std::uint32_t kMaxEpochsLost = 2;
-constexpr std::uint32_t kMaxStartsUnobserved = 2;
-// Responses that bring the token are repeated for this part of a lease.
-constexpr int kTokenLeaseNumerator = 3;
-constexpr int kTokenLeaseDenominator = 5;
-constexpr auto kNoRoomPause = 3s;    // of a machine that refused a start
-constexpr auto kFailurePause = 10s;  // of a machine whose last task failed
-// A machine is faulty after failures of so many jobs, or so many failures in a row.
-constexpr std::size_t kFaultyJobs = 2;
-constexpr std::uint32_t kFaultyFailures = 6;
+// Consecutive lost epochs, and consecutive responses whose start commands have no effect, from
+// which a machine counts as unresponsive. A short interruption may cost one of each.
+constexpr std::uint32_t kLostEpochsThreshold = 2;
+constexpr std::uint32_t kUnobservedStartsThreshold = 2;
+// Part of a lease for which heartbeats of a worker that has not seen the token are still accepted,
+// so that the response with the token is repeated.
+constexpr int kTokenTimeoutNumerator = 3;
+constexpr int kTokenTimeoutDenominator = 5;
+constexpr auto kNoRoomPause = 3s;    // pause of a machine that refused a start
+constexpr auto kFailurePause = 10s;  // pause of a machine on which a task failed
+// A machine is quarantined after failures of this many jobs, or this many failures in a row.
+constexpr std::size_t kFailedJobsThreshold = 2;
+constexpr std::uint32_t kFailuresThreshold = 6;
+// Limits of the exponential backoff of a job that fails on several machines.
 constexpr Duration kMaxBackoff = 60s;
 constexpr std::uint32_t kMaxBackoffDoublings = 5;
 
@@ -38,22 +40,23 @@
 }
 
 bool WorkerHealth::never_saw_token(const Machine& machine) const {
-  const auto limit = context_.settings.lease * kTokenLeaseNumerator / kTokenLeaseDenominator;
-  return !machine.reconciled && !machine.lease_expired && machine.first_answered &&
-         context_.now() - *machine.first_answered > limit;
+  const auto limit = context_.settings.lease * kTokenTimeoutNumerator / kTokenTimeoutDenominator;
+  return !machine.reconciled && !machine.lease_expired && machine.first_response_at &&
+         context_.now() - *machine.first_response_at > limit;
 }
 
-// A partition may cost several epochs, all of which are seen at once when it ends. Only epochs that
-// are lost one after the other, while heartbeats arrive, show that responses do not.
+// A worker may lose several epochs during a partition, all of which become visible at once when it
+// ends. Only epochs that are lost one after the other, while heartbeats arrive, show that responses
+// are lost. A loss within half a lease of the last counted one is therefore ignored.
 void WorkerHealth::on_epoch_lost(Machine& machine) {
   const auto now = context_.now();
   if (now - machine.health.epoch_lost_at <= context_.settings.lease / 2) return;
   machine.health.epoch_lost_at = now;
-  if (++machine.health.epochs_lost >= kMaxEpochsLost) mark_unresponsive(machine);
+  if (++machine.health.epochs_lost >= kLostEpochsThreshold) mark_unresponsive(machine);
 }
 
-// An unresponsive machine takes up work that never starts. It gets more only after it has kept its
-// epoch for a whole lease, which it can only if responses reach it.
+// Work that is assigned to an unresponsive machine never starts. The machine gets new work only
+// after it has kept its epoch for a whole lease, which is possible only if responses reach it.
 void WorkerHealth::on_heartbeat(Machine& machine, const std::vector<TaskEvent>& events) {
   auto& health = machine.health;
   const bool probation_over = context_.now() >= health.unresponsive_until;
@@ -64,8 +67,8 @@
     }
     if (event.kind == TaskEvent::Kind::NotStarted &&
         event.attempt.phase == TaskAttempt::Phase::Dispatched) {
-      if (++health.starts_unobserved >= kMaxStartsUnobserved) mark_unresponsive(machine);
-      break;  // one response, however many start commands it held
+      if (++health.starts_unobserved >= kUnobservedStartsThreshold) mark_unresponsive(machine);
+      break;  // all start commands of one response count once
     }
   }
   if (health.unresponsive_since && context_.now() >= health.unresponsive_until) {
@@ -81,7 +84,7 @@
     machine.health.unresponsive_since = now;
     log::info("machine {} sends heartbeats, but responses seem not to reach it", machine.id);
   }
-  // A lease that expires shows in the heartbeat after that.
+  // A lost lease becomes visible as a new epoch in the heartbeat that follows it.
   machine.health.unresponsive_until =
       now + settings.lease + settings.heartbeat_interval * 2 + kLeaseMargin;
 }
@@ -94,26 +97,26 @@
 void WorkerHealth::on_task_failed(Machine& machine, cluster::Job& job) {
   const auto now = context_.now();
   const bool new_machine = job.failed_on.insert(machine.id).second;
-  if (job.failed_on.size() >= kMaxMachinesAtFault) {
+  if (job.failed_on.size() >= kMinMachinesForFaultyJob) {
     back_off(job, new_machine);
     return;
   }
   auto& health = machine.health;
   health.failed_jobs.insert(job.spec->id);
-  // All tasks of an array that fail together count once: a job with a mistake may put dozens on a
-  // machine before it is known for what it is.
+  // Failures during a pause count once: an array whose tasks all fail may have started dozens of
+  // them on the machine before the job is recognized as faulty.
   if (now >= health.paused_until) ++health.failures;
   health.paused_until = now + kFailurePause;
   const bool too_many =
-      health.failed_jobs.size() >= kFaultyJobs || health.failures >= kFaultyFailures;
+      health.failed_jobs.size() >= kFailedJobsThreshold || health.failures >= kFailuresThreshold;
   if (health.faulty || !too_many) return;
   health.faulty = true;
   log::info("machine {} fails its tasks ({} in a row, {} jobs); it is quarantined", machine.id,
             health.failures, health.failed_jobs.size());
 }
 
-// The job fails wherever it goes: it was submitted with a mistake. It is retried with exponential
-// backoff until its user cancels it, and no longer held against the machines.
+// The job fails on every machine, so the job itself is faulty. It is retried with exponential
+// backoff until its user cancels it, and its failures no longer count against the machines.
 void WorkerHealth::back_off(cluster::Job& job, bool new_machine) {
   const auto now = context_.now();
   if (!new_machine && now < job.not_before) return;
--- a/src/leader/worker_health.hpp
+++ b/src/leader/worker_health.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which machines may be given work: quarantine of faulty and of unresponsive ones.
+/// Decides which machines may be given work; excludes faulty and unresponsive machines.
 
 #include <vector>
 
@@ -9,10 +9,10 @@
 
 namespace asterstair::leader {
 
-/// Judges machines by what happens to their tasks and commands. Two faults are told apart: tasks
-/// that fail (the machine is faulty, or the job), and responses that do not reach the worker while
-/// its heartbeats arrive (a one-way partition). Keeps its findings in Machine::health and in the
-/// failure fields of Job. Owned by Term.
+/// Assesses machines by the results of their tasks and commands. Distinguishes two kinds of faults:
+/// failing tasks (the machine or the job is faulty), and responses that do not reach the worker
+/// while its heartbeats arrive (a one-way partition). Stores its results in Machine::health and in
+/// the failure fields of Job. Owned by Term.
 class WorkerHealth {
  public:
   /// All references outlive this object.
@@ -23,31 +23,33 @@
   bool schedulable(const cluster::Machine& machine) const {
     return schedulable(machine, context_.now());
   }
-  /// The same at a time that the caller has read from the clock.
+  /// As above, at the time `now` that the caller has read from the clock.
   bool schedulable(const cluster::Machine& machine, TimePoint now) const;
 
-  /// Whether the worker sends heartbeats and has never seen this leader's token for so long that
-  /// responses must be lost on their way. Such heartbeats are refused: then its lease surely
-  /// expires, here too, and the term is reconciled without it. A later epoch in its heartbeats
-  /// would prove nothing: a late copy may have been the first to arrive, and the later epoch may
-  /// hold tasks that an earlier leader started.
+  /// Whether the worker has sent heartbeats without this leader's token for so long that responses
+  /// to it must be lost. Such heartbeats are refused. The worker's lease then expires, and this
+  /// leader can count it as expired and reconcile the term without the machine. A later epoch in
+  /// its heartbeats would not prove that earlier tasks are dead: the first heartbeat that arrived
+  /// may have been a late copy, and the later epoch may hold tasks that an earlier leader started.
   bool never_saw_token(const cluster::Machine& machine) const;
 
-  /// The machine's worker has begun a new epoch while its heartbeats arrived.
+  /// Records that the worker has begun a new epoch since the last applied heartbeat.
   void on_epoch_lost(cluster::Machine& machine);
-  /// Learns from a heartbeat whether start commands reach the worker.
+  /// Checks, from the changes that an applied heartbeat shows, whether start commands reach the
+  /// worker.
   void on_heartbeat(cluster::Machine& machine, const std::vector<cluster::TaskEvent>& events);
-  /// A task has completed on the machine.
+  /// Records that a task has completed on the machine.
   void on_task_done(cluster::Machine& machine);
-  /// A task of the job has failed on the machine.
+  /// Records that a task of the job has failed on the machine.
   void on_task_failed(cluster::Machine& machine, cluster::Job& job);
-  /// The worker had not enough free resources for a task.
+  /// Records that the worker refused a start because it lacked free resources.
   void on_start_refused(cluster::Machine& machine);
 
-  /// How long a job waits after its first failed start, and after the failures that quarantine it.
+  /// Pause of a job after a start that its worker could not carry out yet, and first pause of a job
+  /// that fails on several machines.
   static constexpr Duration kInitialBackoff = 4s;
-  /// Failures on so many machines: the job is at fault, not they.
-  static constexpr std::size_t kMaxMachinesAtFault = 3;
+  /// Number of machines on which a job must fail to count as faulty itself.
+  static constexpr std::size_t kMinMachinesForFaultyJob = 3;
 
  private:
   void mark_unresponsive(cluster::Machine& machine);
--- a/src/node/heartbeat_endpoint.cpp
+++ b/src/node/heartbeat_endpoint.cpp
@@ -18,7 +18,7 @@
 using frontend::error_response;
 
 HttpResponse to_http(const leader::HeartbeatResponse& response) {
-  if (response.outcome == leader::HeartbeatResponse::Outcome::AnswersLost) {
+  if (response.outcome == leader::HeartbeatResponse::Outcome::ResponsesLost) {
     return error_response(503, "answers are lost");
   }
   return {200, wire::encode_commands(response.token, response.commands)};
--- a/tests/allocation_test.cpp
+++ b/tests/allocation_test.cpp
@@ -1,4 +1,5 @@
-// What the hot paths allocate, in counts that repeat: they must not grow with what stays the same.
+// Heap allocations of the hot paths. The counts are deterministic, and must not grow with the
+// number of tasks, commands or machines that do not change.
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -15,7 +16,7 @@
 
 using namespace sim;
 
-std::string report_of(std::size_t tasks) {
+std::string heartbeat_body(std::size_t tasks) {
   Json list = Json::array();
   for (std::size_t i = 0; i < tasks; ++i) {
     list.push_back(
@@ -31,13 +32,13 @@
 
 TEST(HeartbeatDecoder, AllocatesNothingPerTask) {
   const auto cost = [](std::size_t tasks) {
-    auto body = report_of(tasks);
+    auto body = heartbeat_body(tasks);
     const auto before = allocations();
     const auto report = wire::decode_heartbeat(std::move(body));
     EXPECT_EQ(report.tasks.size(), tasks);
     return allocations().since(before).count;
   };
-  // The list grows by doubling.
+  // The list of tasks grows by doubling, which allocates a few times.
   EXPECT_LE(cost(64) - cost(1), 8U);
 }
 
@@ -58,16 +59,16 @@
   cluster::JobTable jobs;
   const auto before = allocations();
   cluster::Job& job = jobs.add(spec, 1, {});
-  // Two bits a task, and what the job takes by itself.
+  // Two bits per task, and the size of the job itself.
   EXPECT_LE(allocations().since(before).held, 2 * 100'000 / 8 + 4096);
   EXPECT_EQ(job.waiting.size(), 100'000U);
-  EXPECT_EQ(job.waiting.runs(), 1U);
+  EXPECT_EQ(job.waiting.run_count(), 1U);
   for (std::uint32_t i = 0; i < 1000; ++i) EXPECT_EQ(cluster::JobTable::take_waiting(job), i);
-  EXPECT_EQ(job.waiting.runs(), 1U);
+  EXPECT_EQ(job.waiting.run_count(), 1U);
 }
 
-// Allocations of the leader's own loops in ten seconds in which nothing changes.
-std::uint64_t cost_of_a_steady_fleet(std::size_t per_pool) {
+// Returns the allocations of the leader's timer loops in ten seconds without any change.
+std::uint64_t steady_state_allocations(std::size_t per_pool) {
   Scenario scenario(77, per_pool);
   scenario.run_until(2);
   scenario.users.submit(spot_array_job(static_cast<std::uint32_t>(per_pool * 35), 900));
@@ -82,17 +83,17 @@
 }
 
 TEST(LeaderLoops, DoNotAllocateMoreForALargerFleet) {
-  const auto small = cost_of_a_steady_fleet(3), large = cost_of_a_steady_fleet(24);
+  const auto small = steady_state_allocations(3), large = steady_state_allocations(24);
   EXPECT_GT(small, 0U);
-  EXPECT_LE(large, small * 3 / 2) << "of 36 machines " << small;
+  EXPECT_LE(large, small * 3 / 2) << "allocations with 36 machines: " << small;
 }
 
-// What a server and its clients hold for a connection between two messages.
+// Memory that a server and its client hold for a connection between two messages.
 TEST(IdleConnection, HoldsLittleMemory) {
   uv_loop_t loop;
   uv_loop_init(&loop);
   constexpr int kConnections = 100;
-  // On the heap and never freed: the loop owns their handles until the process ends.
+  // Allocated on the heap and never freed: the loop owns their handles until the process ends.
   net::HttpServer* server = nullptr;
   std::string address;
   for (int port = 20000 + getpid() % 20000; address.empty(); ++port) {
@@ -103,7 +104,7 @@
       server->listen("127.0.0.1:" + std::to_string(port));
       address = "127.0.0.1:" + std::to_string(port);
     } catch (const std::runtime_error&) {
-      continue;  // taken
+      continue;  // the port is in use
     }
   }
   auto* client = new net::HttpClient(&loop, kConnections);
@@ -120,7 +121,7 @@
   while (ended < kConnections) uv_run(&loop, UV_RUN_ONCE);
   ASSERT_EQ(answered, kConnections);
   for (int i = 0; i < 20; ++i) uv_run(&loop, UV_RUN_NOWAIT);
-  ASSERT_EQ(server->connections(), 8U) << "the client keeps eight to an address";
+  ASSERT_EQ(server->connections(), 8U) << "the client keeps eight idle connections per address";
   EXPECT_LE(allocations().since(before).held, 8 * 2 * 2048);
 }
 
