--- a/src/leader/term_recovery.cpp
+++ b/src/leader/term_recovery.cpp
@@ -160,7 +160,7 @@
 
 void TermRecovery::adopt_registered(const std::string& name) {
   // The operation log may have been read already, and may show that the machine was returned.
-  if (returned_.gone(name)) return;
+  if (returned_.terminated(name)) return;
   Machine& machine = cluster_.machines.at(name);
   machine.id = name;
   machine.registered = true;
@@ -168,8 +168,8 @@
   if (!machine.reconciled && !machine.lease_expired) unreconciled_.insert(name);
   // Earlier leaders send no responses after this time, so it is an upper bound of the last renewal
   // of the worker's lease.
-  if (machine.last_answered == TimePoint{}) {
-    machine.last_answered = context_.previous_leaders_expiry;
+  if (machine.latest_possible_renewal == TimePoint{}) {
+    machine.latest_possible_renewal = context_.previous_leaders_expiry;
   }
 }
 
