--- /dev/null
+++ b/tests/load/temporary_directory.hpp
@@ -0,0 +1,31 @@
+#pragma once
+
+#include <cstdlib>
+#include <filesystem>
+#include <stdexcept>
+#include <string>
+#include <system_error>
+
+namespace load {
+
+/// A new directory, which goes with all that is in it.
+class TemporaryDirectory {
+ public:
+  TemporaryDirectory() {
+    path_ = (std::filesystem::temp_directory_path() / "mixed-versions-XXXXXX").string();
+    if (mkdtemp(path_.data()) == nullptr) throw std::runtime_error("cannot make " + path_);
+  }
+  ~TemporaryDirectory() {
+    std::error_code ignored;
+    std::filesystem::remove_all(path_, ignored);
+  }
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
+
+  const std::string& path() const { return path_; }
+
+ private:
+  std::string path_;
+};
+
+}  // namespace load
