--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -63,7 +63,9 @@
       address_(settings.cloud_address),
       rate_limiter_(settings.cloud_rps * kRateShare, settings.cloud_rps) {}
 
-bool Cloud::may_call() { return rate_limiter_.wait_for(1, runtime_.now()) <= Duration::zero(); }
+bool Cloud::may_call() {
+  return rate_limiter_.time_until_available(1, runtime_.now()) <= Duration::zero();
+}
 
 void Cloud::count_call() { rate_limiter_.take_unconditionally(1, runtime_.now()); }
 
--- a/src/frontend/canceller.cpp
+++ b/src/frontend/canceller.cpp
@@ -35,7 +35,7 @@
                    case store::WriteOutcome::Committed:
                      done(CancelOutcome::Cancelled, {});
                      return;
-                   case store::WriteOutcome::NotDone:
+                   case store::WriteOutcome::NotApplied:
                      done(CancelOutcome::Unavailable, {});
                      return;
                    case store::WriteOutcome::Conflict:
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -91,7 +91,7 @@
                    case store::WriteOutcome::Committed:
                      respond({201, wire::encode_status(id, JobStage::Queued)});
                      return;
-                   case store::WriteOutcome::NotDone:
+                   case store::WriteOutcome::NotApplied:
                      respond(store_unavailable_response());
                      return;
                    case store::WriteOutcome::Conflict:
--- a/src/leader/fenced_writer.cpp
+++ b/src/leader/fenced_writer.cpp
@@ -15,7 +15,7 @@
     if (result.outcome == store::WriteOutcome::Committed) {
       for (const auto& key : keys) versions_[key] = result.revision;
       done(true);
-    } else if (result.outcome == store::WriteOutcome::NotDone) {
+    } else if (result.outcome == store::WriteOutcome::NotApplied) {
       done(false);
     } else {
       // This write or an earlier one got no response and was carried out, or may still be.
--- a/src/leader/job_progress_log.cpp
+++ b/src/leader/job_progress_log.cpp
@@ -29,7 +29,7 @@
   txn.conditions = {{store::live_key(id), job.version}};
   txn.changes = {{store::progress_key(id, 0),
                   store::encode_progress_chunk(job.done, 0, context_.settings.value_bytes)}};
-  writer_.write(std::move(txn), store::Urgency::Start, [this, id](bool committed) {
+  writer_.write(std::move(txn), store::Urgency::TaskStart, [this, id](bool committed) {
     Job* written = jobs_.find(id);
     if (written == nullptr) return;
     written->start_record = committed ? Job::StartRecord::Durable : Job::StartRecord::Absent;
@@ -100,7 +100,7 @@
     // After a failure, the next flush retries unless the watch reports that the job is cancelled.
     if (result.outcome == store::WriteOutcome::Committed) on_completed_(id);
   };
-  context_.store.write(std::move(txn), store::Urgency::Final,
+  context_.store.write(std::move(txn), store::Urgency::JobEnd,
                        context_.while_alive(std::move(on_result)));
 }
 
--- a/src/leader/machine_registry.cpp
+++ b/src/leader/machine_registry.cpp
@@ -111,7 +111,7 @@
     write_in_flight_ = false;
     if (committed) on_written(chunk, names, added);
   };
-  writer_.write(std::move(txn), store::Urgency::Start, std::move(on_done));
+  writer_.write(std::move(txn), store::Urgency::TaskStart, std::move(on_done));
 }
 
 void MachineRegistry::on_written(std::size_t chunk, const std::set<std::string>& names,
--- a/src/lease/acquirer.cpp
+++ b/src/lease/acquirer.cpp
@@ -155,10 +155,10 @@
     claim(version, forced);
     return;
   }
-  store_.get_now(options_.expiry_record_key,
-                 step_.begin([this, version](const store::ReadResult& result) {
-                   claim(version, !records_expiry_of(result, version));
-                 }));
+  store_.get_unqueued(options_.expiry_record_key,
+                      step_.begin([this, version](const store::ReadResult& result) {
+                        claim(version, !records_expiry_of(result, version));
+                      }));
 }
 
 // A record that is missing, malformed or could not be read says nothing.
--- a/src/lease/renewer.cpp
+++ b/src/lease/renewer.cpp
@@ -59,9 +59,10 @@
 // longer.
 void Renewer::renew() {
   const auto sent_at = runtime_.now();
-  store_.get_now(options_.key, renewal_.begin([this, sent_at](const store::ReadResult& result) {
-    on_record_read(result, sent_at);
-  }));
+  store_.get_unqueued(options_.key,
+                      renewal_.begin([this, sent_at](const store::ReadResult& result) {
+                        on_record_read(result, sent_at);
+                      }));
 }
 
 void Renewer::on_record_read(const store::ReadResult& result, TimePoint sent_at) {
@@ -78,13 +79,13 @@
   store_.renew_store_lease(store_lease_,
                            renewal_.join([this, sent_at](store::StoreLeaseOutcome outcome) {
                              switch (outcome) {
-                               case store::StoreLeaseOutcome::Gone:
+                               case store::StoreLeaseOutcome::NotFound:
                                  lose();
                                  return;
                                case store::StoreLeaseOutcome::Unavailable:
                                  renew_after(kRenewRetryInterval);
                                  return;
-                               case store::StoreLeaseOutcome::Alive:
+                               case store::StoreLeaseOutcome::Renewed:
                                  on_store_lease_renewed(sent_at);
                                  return;
                              }
--- a/src/provisioning/stored_operation_log.cpp
+++ b/src/provisioning/stored_operation_log.cpp
@@ -100,7 +100,7 @@
   } else {
     txn.changes.push_back({operation_key(name), encode_operation(entry.target)});
   }
-  const auto urgency = entry.on_appended ? store::Urgency::Order : store::Urgency::Lazy;
+  const auto urgency = entry.on_appended ? store::Urgency::MachineOperation : store::Urgency::Lazy;
   store_.write(
       std::move(txn), urgency,
       while_running([name, kind](StoredOperationLog& self, const store::WriteResult& result) {
@@ -129,7 +129,7 @@
         on_put(name, result.revision);
       }
       break;
-    case store::WriteOutcome::NotDone:
+    case store::WriteOutcome::NotApplied:
       on_not_done(name);
       break;
     case store::WriteOutcome::Unknown:
--- a/src/store/group_commit.cpp
+++ b/src/store/group_commit.cpp
@@ -7,9 +7,9 @@
 namespace asterstair::store {
 namespace {
 
-// Most conditions in a transaction for each change that it may hold (PROTOCOL).
-constexpr std::size_t kConditionsPerChange = 4;
-// Bytes of a condition in a request beside its key.
+// The state service accepts this many conditions in a transaction for each change that it may hold.
+constexpr std::size_t kMaxConditionsPerChange = 4;
+// Estimated bytes of a condition in a request, excluding its key.
 constexpr std::size_t kConditionOverhead = 40;
 
 }  // namespace
@@ -26,7 +26,7 @@
   group.changes.insert(group.changes.end(), txn.changes.begin(), txn.changes.end());
 }
 
-wire::Txn without_repeated_conditions(wire::Txn txn) {
+wire::Txn deduplicate_conditions(wire::Txn txn) {
   std::set<std::string> seen;
   std::vector<wire::Condition> kept;
   for (auto& condition : txn.conditions) {
@@ -39,24 +39,24 @@
 bool GroupCommit::accepts(const wire::Txn& txn, std::size_t size) const {
   return has_room_for(txn, size) &&
          std::none_of(txn.conditions.begin(), txn.conditions.end(),
-                      [this](const auto& condition) { return contradicts(condition); }) &&
+                      [this](const auto& condition) { return conflicts_with(condition); }) &&
          std::none_of(txn.changes.begin(), txn.changes.end(),
-                      [this](const auto& change) { return touches(change.key); });
+                      [this](const auto& change) { return uses_key(change.key); });
 }
 
 bool GroupCommit::has_room_for(const wire::Txn& txn, std::size_t size) const {
-  const auto max_conditions = kConditionsPerChange * max_changes_;
+  const auto max_conditions = kMaxConditionsPerChange * max_changes_;
   return changes_ + txn.changes.size() <= max_changes_ && bytes_ + size <= kMaxGroupBytes &&
          required_versions_.size() + txn.conditions.size() <= max_conditions;
 }
 
-bool GroupCommit::contradicts(const wire::Condition& condition) const {
+bool GroupCommit::conflicts_with(const wire::Condition& condition) const {
   if (changed_keys_.count(condition.key) != 0) return true;
   const auto required = required_versions_.find(condition.key);
   return required != required_versions_.end() && required->second != condition.version;
 }
 
-bool GroupCommit::touches(const std::string& key) const {
+bool GroupCommit::uses_key(const std::string& key) const {
   return changed_keys_.count(key) != 0 || required_versions_.count(key) != 0;
 }
 
--- a/src/store/group_commit.hpp
+++ b/src/store/group_commit.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Group commit: several transactions that do not touch one another travel as one.
+/// Group commit: several independent transactions are sent as one transaction.
 
 #include <cstddef>
 #include <cstdint>
@@ -12,39 +12,41 @@
 
 namespace asterstair::store {
 
-/// Largest request for a group of transactions, in estimated bytes. PROTOCOL bounds bodies.
+/// Maximum estimated size of the request for a group, in bytes. The protocol of the state service
+/// bounds request bodies.
 inline constexpr std::size_t kMaxGroupBytes = std::size_t{60} * 1024;
 
-/// Returns about the bytes that a transaction takes in a request.
+/// Returns the estimated size of a transaction in a request, in bytes.
 std::size_t estimate_size(const wire::Txn& txn);
 
 /// Appends the conditions and changes of `txn` to `group`.
 void append(wire::Txn& group, const wire::Txn& txn);
 
-/// Removes conditions on a key that an earlier condition names. The transactions of a group may
-/// share conditions, which then require the same version.
-wire::Txn without_repeated_conditions(wire::Txn txn);
+/// Keeps only the first condition on each key. Transactions of a group may have conditions on the
+/// same key; GroupCommit ensures that these require the same version.
+wire::Txn deduplicate_conditions(wire::Txn txn);
 
-/// Decides which transactions may join a group, from the keys and sizes of those in it. WriteQueue
-/// makes one for each request.
+/// Decides which transactions may join a group, from the keys and sizes of its members. WriteQueue
+/// creates an instance for each request.
 ///
-/// A transaction may not touch a key that another one of its group changes: the state service
-/// checks all conditions before it carries out any change.
+/// A transaction must neither change nor have a condition on a key that another transaction of the
+/// group changes: the state service checks all conditions before it applies any change.
 class GroupCommit {
  public:
-  /// @param max_changes  most changes in one transaction of the state service (`txn_ops`)
+  /// @param max_changes  maximum changes in one transaction of the state service (`txn_ops`)
   explicit GroupCommit(std::size_t max_changes) : max_changes_(max_changes) {}
 
-  /// Whether a transaction of `size` bytes may join those added so far.
+  /// Returns whether a transaction of `size` bytes may join the transactions added so far.
   bool accepts(const wire::Txn& txn, std::size_t size) const;
 
-  /// Adds a transaction, without a check: the first of a group travels whatever its size.
+  /// Adds a transaction without a check: the first transaction of a group is sent whatever its
+  /// size.
   void add(const wire::Txn& txn, std::size_t size);
 
  private:
   bool has_room_for(const wire::Txn& txn, std::size_t size) const;
-  bool contradicts(const wire::Condition& condition) const;
-  bool touches(const std::string& key) const;
+  bool conflicts_with(const wire::Condition& condition) const;
+  bool uses_key(const std::string& key) const;
 
   std::size_t max_changes_;
   std::size_t changes_ = 0;
--- a/src/store/job_records.cpp
+++ b/src/store/job_records.cpp
@@ -13,8 +13,8 @@
 constexpr const char* kEndField = "end";
 constexpr const char* kTasksField = "tasks";
 
-constexpr const char* kCancelledWord = "cancelled";
-constexpr const char* kDoneWord = "done";
+constexpr const char* kCancelledValue = "cancelled";
+constexpr const char* kDoneValue = "done";
 
 }  // namespace
 
@@ -34,12 +34,13 @@
 }
 
 wire::Json encode_final(const FinalRecord& record) {
-  return {{kEndField, record.cancelled ? kCancelledWord : kDoneWord}, {kTasksField, record.tasks}};
+  return {{kEndField, record.cancelled ? kCancelledValue : kDoneValue},
+          {kTasksField, record.tasks}};
 }
 
 FinalRecord decode_final(const wire::Json& value) {
   FinalRecord record;
-  record.cancelled = wire::text(value, kEndField) == kCancelledWord;
+  record.cancelled = wire::text(value, kEndField) == kCancelledValue;
   record.tasks = static_cast<std::uint32_t>(wire::integer(value, kTasksField));
   return record;
 }
--- a/src/store/paged_list.cpp
+++ b/src/store/paged_list.cpp
@@ -6,7 +6,7 @@
 namespace asterstair::store {
 namespace {
 
-/// One list under way. The callbacks of its requests and timers own it.
+/// A list in progress. The callbacks of its requests and timers own it.
 class PagedList : public std::enable_shared_from_this<PagedList> {
  public:
   PagedList(Transport& transport, ListRequest request, std::function<void(ListResult)> done)
@@ -14,7 +14,7 @@
 
   void request_page() {
     const std::string after = result_.items.empty() ? "" : result_.items.back().key;
-    transport_.send_now(
+    transport_.send_unqueued(
         wire::list_keys_request(request_.prefix, after, request_.page_size), request_.page_timeout,
         [self = shared_from_this()](const HttpResponse& response) { self->on_response(response); });
   }
@@ -33,7 +33,7 @@
 
   void retry_page() {
     ++rate_limit_retries_;
-    transport_.runtime().after(kRateLimitedPause,
+    transport_.runtime().after(kRateLimitPause,
                                [self = shared_from_this()] { self->request_page(); });
   }
 
--- a/src/store/paged_list.hpp
+++ b/src/store/paged_list.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Lists of all keys with a prefix, read page by page.
+/// Reads the list of all keys with a prefix, page by page.
 
 #include <functional>
 #include <memory>
@@ -11,20 +11,20 @@
 
 namespace asterstair::store {
 
-/// What to list, and how.
+/// Parameters of a list.
 struct ListRequest {
-  /// Keys that start with it are listed.
+  /// All keys that start with this prefix are listed.
   std::string prefix;
-  /// Items in a page.
+  /// Maximum number of items in a page.
   std::size_t page_size;
   /// Timeout of the request for one page.
   Duration page_timeout;
-  /// How often a page is requested again after the answer 429, before the list fails.
+  /// How often a page is requested again after status 429 before the list fails.
   int max_rate_limit_retries;
 };
 
-/// Reads all keys with a prefix in key order. The requests do not wait for tokens of the rate
-/// limit. `done` runs exactly once; a list with a failed page has no items and is not ok.
+/// Reads all keys with a prefix in key order. The requests count against the rate limit, but do not
+/// wait for it. `done` runs exactly once; if a page fails, the result is not ok and has no items.
 /// Store::list() and ReadQueue call it.
 void list_prefix(Transport& transport, const ListRequest& request,
                  std::function<void(ListResult)> done);
--- a/src/store/progress_records.cpp
+++ b/src/store/progress_records.cpp
@@ -9,7 +9,7 @@
 constexpr const char* kDoneField = "done";
 constexpr const char* kHexDigits = "0123456789abcdef";
 constexpr unsigned kTasksPerDigit = 4;
-// Bytes of a chunk's value beside its digits, generously.
+// Upper bound of the bytes of a chunk's value, excluding its digits.
 constexpr std::size_t kChunkOverhead = 64;
 
 unsigned digit_value(char digit) {
--- a/src/store/read_queue.cpp
+++ b/src/store/read_queue.cpp
@@ -11,18 +11,18 @@
 namespace asterstair::store {
 namespace {
 
-// Timeout of one request. A user waits 2 s for an answer, so that a read can be tried twice.
+// Timeout of one request. Users wait 2 s for a response, which leaves time for two attempts.
 constexpr auto kRequestTimeout = 900ms;
 constexpr std::size_t kMaxInFlight = 16;
-constexpr int kMaxTries = 3;
+constexpr int kMaxAttempts = 3;
 
-// When so many reads of live job records wait, one list answers them.
+// Number of queued reads of live job records from which one list replaces them.
 constexpr std::size_t kLiveListThreshold = 24;
-// A list of all live records is large: at most one is sent in this time.
-constexpr auto kLiveListInterval = 400ms;
+// Minimum time between two lists of all live records, which are large.
+constexpr auto kMinLiveListInterval = 400ms;
 constexpr auto kLiveListPageTimeout = 800ms;
 constexpr std::size_t kLiveListPageSize = 1000;
-constexpr int kLiveListRateLimitRetries = 1;
+constexpr int kMaxLiveListRateLimitRetries = 1;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
 
 void ReadQueue::get(const std::string& key, std::function<void(ReadResult)> done,
                     Duration timeout) {
-  // A read that has not been sent serves all who ask for its key meanwhile.
+  // Joins the queued read of the same key, if there is one.
   const auto shared = by_key_.find(key);
   if (shared != by_key_.end()) {
     shared->second->callbacks.push_back(std::move(done));
@@ -55,7 +55,7 @@
   return read;
 }
 
-// Sends what the limits allow, in order, and sets the timer for the rest.
+// Sends the queued reads in order as far as the limits allow, and sets the timer for the rest.
 void ReadQueue::send_ready() {
   const auto now = transport_.now();
   if (waiting_.size() >= kLiveListThreshold) list_live_records();
@@ -69,7 +69,7 @@
       wake_.set(time_left);
       return;
     }
-    const auto wait = transport_.request_limit().wait_for(1, now);
+    const auto wait = transport_.request_limit().time_until_available(1, now);
     if (wait > Duration::zero()) {
       wake_.set(std::min<Duration>(wait, time_left));
       return;
@@ -81,7 +81,7 @@
 
 void ReadQueue::send(Read read) {
   ++in_flight_;
-  ++read.tries;
+  ++read.attempts;
   auto shared = std::make_shared<Read>(std::move(read));
   const auto timeout = std::min<Duration>(kRequestTimeout, shared->deadline - transport_.now());
   transport_.send(wire::get_request(shared->key), timeout,
@@ -92,10 +92,10 @@
   --in_flight_;
   const auto now = transport_.now();
   const bool rate_limited = response.status == http_status::kTooManyRequests;
-  if (rate_limited) transport_.request_limit().on_rate_limited(now, kRateLimitedPause);
+  if (rate_limited) transport_.request_limit().on_rate_limited(now, kRateLimitPause);
   const bool retryable = rate_limited || response.status == http_status::kNoAnswer;
-  if (retryable && now < read.deadline && read.tries < kMaxTries) {
-    // A later read of the same key may be waiting already: then it stays the shared one.
+  if (retryable && now < read.deadline && read.attempts < kMaxAttempts) {
+    // If a later read of the same key is queued already, new callers keep joining that read.
     waiting_.push_front(std::move(read));
     by_key_.emplace(waiting_.front().key, &waiting_.front());
   } else {
@@ -113,7 +113,7 @@
   return read.deadline > now && read.key.starts_with(kLivePrefix);
 }
 
-bool ReadQueue::enough_for_live_list(TimePoint now) const {
+bool ReadQueue::reaches_live_list_threshold(TimePoint now) const {
   const auto count = std::count_if(waiting_.begin(), waiting_.end(), [now](const Read& read) {
     return waits_for_live_record(read, now);
   });
@@ -135,17 +135,18 @@
   return popped;
 }
 
-// When users poll their jobs far more often than usual, one read a poll uses up the rate limit.
-// A list that is sent after the polls came shows every live record as of then or later, so that no
-// poll gets an older answer than its own read would give. A record that the list lacks is missing.
+// Serves the queued reads of live records with one list. When users poll their jobs far more often
+// than usual, one read per poll would use up the rate limit. The list is requested after the polls
+// arrived and shows every live record as of that time or later, so that it is as recent as a read
+// of the single key would be. A record that is not in the list does not exist.
 void ReadQueue::list_live_records() {
   const auto now = transport_.now();
-  if (live_list_in_flight_ || now < next_live_list_ || !enough_for_live_list(now)) return;
+  if (live_list_in_flight_ || now < next_live_list_at_ || !reaches_live_list_threshold(now)) return;
   live_list_in_flight_ = true;
-  next_live_list_ = now + kLiveListInterval;
+  next_live_list_at_ = now + kMinLiveListInterval;
   auto reads = std::make_shared<std::vector<Read>>(pop_reads_of_live_records(now));
   list_prefix(transport_,
-              {kLivePrefix, kLiveListPageSize, kLiveListPageTimeout, kLiveListRateLimitRetries},
+              {kLivePrefix, kLiveListPageSize, kLiveListPageTimeout, kMaxLiveListRateLimitRetries},
               [this, reads](const ListResult& list) { on_live_list(*reads, list); });
 }
 
--- a/src/store/record_format.cpp
+++ b/src/store/record_format.cpp
@@ -13,7 +13,8 @@
   if (wire::optional_member(value, kFormatField) == nullptr) return;
   const auto format = wire::integer(value, kFormatField);
   if (format > kRecordFormat) {
-    throw wire::DecodeError("form " + std::to_string(format) + " is newer", kFormatField);
+    throw wire::DecodeError(
+        "form " + std::to_string(format) + " is newer than this program supports", kFormatField);
   }
 }
 
--- a/src/store/record_format.hpp
+++ b/src/store/record_format.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Versions of the format of stored records.
+/// Version of the format of stored records.
 
 #include <cstdint>
 
@@ -8,12 +8,12 @@
 
 namespace asterstair::store {
 
-/// Newest version of the format of records that this program reads, and the one that it writes.
+/// Newest format version that this program reads, and the version that it writes.
 inline constexpr std::uint64_t kRecordFormat = 1;
 
-/// Throws wire::DecodeError if a record names a newer format than kRecordFormat. Such a record is
-/// not read: what it says may bind in ways that this program does not know. A record that names no
-/// format has the first one.
+/// Throws wire::DecodeError if the format version of a record is newer than kRecordFormat. Such a
+/// record must not be used: it may contain constraints that this program does not know. A record
+/// without a version has format version 1.
 void require_known_format(const wire::Json& value);
 
 }  // namespace asterstair::store
--- a/src/store/records.hpp
+++ b/src/store/records.hpp
@@ -1,17 +1,20 @@
 #pragma once
 /// @file
-/// All that the service keeps in the state service: keys and the format of their values. Package
-/// provisioning adds its own records, see provisioning/records.hpp.
+/// Keys and value formats of the records in the state service. Package provisioning adds its own
+/// records, see provisioning/records.hpp.
 ///
-///   leader                  who leads, attached to a store lease; its version is the fencing token
-///   earlier-leaders-ended   the leases of all leaders before a token have expired
+///   leader                  holder of the leader lease, attached to a store lease; the key's
+///                           version is the fencing token
+///   earlier-leaders-ended   the leases of all leaders before a fencing token have expired
 ///   live/<job>              description of an accepted job that is neither done nor cancelled
-///   final/<job>             how a job ended; kept for ever
-///   progress/<job>/<n>      which tasks are done, in chunks; the first precedes the first start
-///   roster/<n>              machine registry: machines that may have been given work, in chunks
-///   catalog                 machine types as last seen, for starts while the cloud is down
+///   final/<job>             how a job ended; never deleted
+///   progress/<job>/<n>      bitmap of done tasks, in chunks; chunk 0 is written before the job's
+///                           first task starts
+///   roster/<n>              machine registry: machines that may have tasks, in chunks
+///   catalog                 last known machine types, for nodes that start while the cloud is
+///                           unavailable
 ///
-/// The words in keys and values are stored by running clusters: they never change.
+/// Running clusters have stored these keys, field names and values: they must never change.
 
 #include "store/job_records.hpp"
 #include "store/lease_records.hpp"
@@ -21,7 +24,7 @@
 
 namespace asterstair::store {
 
-/// Key of the machine types as last seen. wire::encode_machine_types() gives the value's format.
+/// Key of the last known machine types. wire::encode_machine_types() defines the value's format.
 inline constexpr const char* kCatalogKey = "catalog";
 
 }  // namespace asterstair::store
--- a/src/store/responses.cpp
+++ b/src/store/responses.cpp
@@ -50,9 +50,9 @@
       return {WriteOutcome::Unknown, 0};
     case http_status::kBadRequest:
       log::error("state service refused a transaction: {}", response.body);
-      return {WriteOutcome::NotDone, 0};
+      return {WriteOutcome::NotApplied, 0};
     case http_status::kServiceUnavailable:
-      return {WriteOutcome::NotDone, 0};
+      return {WriteOutcome::NotApplied, 0};
     default:
       return {WriteOutcome::Unknown, 0};
   }
@@ -85,9 +85,9 @@
 StoreLeaseOutcome decode_lease_renewal_response(const HttpResponse& response) {
   switch (response.status) {
     case http_status::kOk:
-      return StoreLeaseOutcome::Alive;
+      return StoreLeaseOutcome::Renewed;
     case http_status::kNotFound:
-      return StoreLeaseOutcome::Gone;
+      return StoreLeaseOutcome::NotFound;
     default:
       return StoreLeaseOutcome::Unavailable;
   }
--- a/src/store/responses.hpp
+++ b/src/store/responses.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Translates HTTP answers of the state service into typed results. A malformed answer is logged
-/// and counts as no usable answer. Only package store uses it.
+/// Decodes HTTP responses of the state service into typed results. A malformed response is logged
+/// and handled like a missing response. Only package store uses these functions.
 
 #include <optional>
 #include <set>
@@ -12,27 +12,27 @@
 
 namespace asterstair::store {
 
-/// Translates the answer to a read of one key.
+/// Decodes the response to a read of one key.
 ReadResult decode_read_response(const HttpResponse& response);
 
-/// Translates the answer to the request for one page of a list; none if there is no page in it.
+/// Decodes the response to the request for one page of a list; none if it contains no page.
 std::optional<wire::ItemPage> decode_list_response(const HttpResponse& response);
 
-/// Translates the answer to a transaction, other than a conflict and the answer 429, which the
-/// write queue handles itself.
+/// Decodes the response to a transaction. The write queue handles conflicts (status 409) and
+/// status 429 itself.
 WriteResult decode_txn_response(const HttpResponse& response);
 
-/// Returns the keys whose conditions failed, from the answer 409 to a transaction; empty if the
-/// answer is malformed.
+/// Returns the keys whose conditions failed, from a response with status 409 to a transaction;
+/// empty if the response is malformed.
 std::set<std::string> decode_conflict_response(const HttpResponse& response);
 
-/// Translates the answer to a watch.
+/// Decodes the response to a watch.
 WatchResult decode_watch_response(const HttpResponse& response);
 
-/// Returns the new store lease's number; none if the store lease was not created.
+/// Returns the id of the new store lease; none if no store lease was created.
 std::optional<std::uint64_t> decode_lease_creation_response(const HttpResponse& response);
 
-/// Translates the answer to the renewal of a store lease.
+/// Decodes the response to the renewal of a store lease.
 StoreLeaseOutcome decode_lease_renewal_response(const HttpResponse& response);
 
 }  // namespace asterstair::store
--- a/src/store/results.hpp
+++ b/src/store/results.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Outcomes of requests to the state service, as Store hands them to its callers.
+/// Results of requests to the state service, which Store passes to its callers.
 
 #include <cstdint>
 #include <vector>
@@ -15,45 +15,47 @@
   Found,
   /// The key does not exist.
   Missing,
-  /// No usable answer came in time, or too many reads wait. Nothing is known of the key.
+  /// No usable response arrived in time, or too many reads are queued. The state of the key is
+  /// unknown.
   Unavailable
 };
 
 /// Result of a read of one key.
 struct ReadResult {
   ReadOutcome outcome = ReadOutcome::Unavailable;
-  /// The item; only if Found.
+  /// The item; only valid if Found.
   wire::Item item;
-  /// Revision of the store at which the key was missing; only if Missing.
+  /// Revision of the store at which the key was missing; only valid if Missing.
   std::uint64_t revision = 0;
 };
 
 /// How a compare-and-swap transaction ended.
 enum class WriteOutcome {
-  /// All changes are carried out.
+  /// All changes have been applied.
   Committed,
-  /// A condition did not hold; nothing is carried out.
+  /// A condition did not hold; no change has been applied.
   Conflict,
-  /// Nothing is carried out, and nothing will be: not sent, or refused.
-  NotDone,
-  /// No usable answer came: the changes may have been carried out, or may be yet.
+  /// The transaction was not sent, or was rejected: no change has been or will be applied.
+  NotApplied,
+  /// No usable response arrived: the changes may have been applied, or may still be applied.
   Unknown
 };
 
 /// Result of a compare-and-swap transaction.
 struct WriteResult {
-  WriteOutcome outcome = WriteOutcome::NotDone;
-  /// Revision of the changes, which is the version of the keys written; only if Committed.
+  WriteOutcome outcome = WriteOutcome::NotApplied;
+  /// Revision of the changes, which is the new version of the written keys; only valid if
+  /// Committed.
   std::uint64_t revision = 0;
 };
 
 /// How the renewal of a store lease ended.
 enum class StoreLeaseOutcome {
-  /// Renewed: its time to live counts anew from a moment between the request and the answer.
-  Alive,
-  /// The store lease has expired or is revoked, and its keys are deleted.
-  Gone,
-  /// No usable answer came.
+  /// The time to live starts again at some moment between the request and the response.
+  Renewed,
+  /// The store lease has expired or has been revoked, and its keys have been deleted.
+  NotFound,
+  /// No usable response arrived.
   Unavailable
 };
 
@@ -61,24 +63,25 @@
 struct WatchResult {
   /// How a watch ended.
   enum class Outcome {
-    /// The result holds the events since the revision that was asked for; there may be none.
+    /// The result holds the events since the requested revision; there may be none.
     Events,
-    /// The service no longer has all events since that revision: the caller must list again.
+    /// The service no longer has all events since the requested revision: the caller must list
+    /// again.
     TooOld,
-    /// No usable answer came.
+    /// No usable response arrived.
     Unavailable
   } outcome = Outcome::Unavailable;
-  /// The events, with the revision to watch from next; only if Outcome::Events.
+  /// The events, with the revision to watch from next; only valid if Outcome::Events.
   wire::ItemPage events;
 };
 
 /// Result of a list of all keys with a prefix.
 struct ListResult {
-  /// Whether all pages were read; false: the other fields mean nothing.
+  /// Whether all pages were read. If false, the other fields are not valid.
   bool ok = false;
   /// The items in key order.
   std::vector<wire::Item> items;
-  /// Revision of the first page. Changes after it may be missing from the later pages.
+  /// Revision of the first page. Later pages may lack changes made after this revision.
   std::uint64_t revision = 0;
 };
 
--- a/src/store/transport.cpp
+++ b/src/store/transport.cpp
@@ -6,10 +6,11 @@
 namespace asterstair::store {
 namespace {
 
-// A single failed request is ordinary; users' requests are refused only after a series.
-constexpr auto kDownAfter = 2s;
-// The log gets one line of refused requests in this time, however many there are.
-constexpr auto kRateLimitLogInterval = 10s;
+// Single requests fail in normal operation. Users' requests are refused only if all requests have
+// failed for this time.
+constexpr auto kDownTimeout = 2s;
+// Minimum time between two log lines on refused requests, however many are refused.
+constexpr auto kMinRateLimitLogInterval = 10s;
 
 }  // namespace
 
@@ -21,7 +22,7 @@
                 });
 }
 
-void Transport::send_now(HttpRequest request, Duration timeout, HttpCallback done) {
+void Transport::send_unqueued(HttpRequest request, Duration timeout, HttpCallback done) {
   request_limit_.take_unconditionally(1, now());
   send(std::move(request), timeout, std::move(done));
 }
@@ -36,7 +37,7 @@
 }
 
 void Transport::track_health(int status) {
-  // A service that refuses requests for their rate works: 429 counts as an answer.
+  // Status 429 counts as served: a service that enforces its rate limit works.
   if (status == http_status::kTooManyRequests) count_rate_limited();
   if (status != http_status::kNoAnswer && status != http_status::kServiceUnavailable) {
     last_answer_ = now();
@@ -48,15 +49,15 @@
 
 void Transport::count_rate_limited() {
   ++rate_limited_;
-  const bool logged_lately = rate_limit_logged_at_ != TimePoint{} &&
-                             now() - rate_limit_logged_at_ <= kRateLimitLogInterval;
-  if (logged_lately) return;
+  const bool logged_recently = rate_limit_logged_at_ != TimePoint{} &&
+                               now() - rate_limit_logged_at_ <= kMinRateLimitLogInterval;
+  if (logged_recently) return;
   rate_limit_logged_at_ = now();
   log::info("state service rate limit reached: {} requests refused since the start", rate_limited_);
 }
 
 bool Transport::seems_down() const {
-  return failing_since_ != TimePoint{} && now() - failing_since_ > kDownAfter;
+  return failing_since_ != TimePoint{} && now() - failing_since_ > kDownTimeout;
 }
 
 bool Transport::answered_within(Duration within) const {
--- a/src/store/wake_timer.hpp
+++ b/src/store/wake_timer.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Timer that wakes a queue.
+/// Timer that triggers the processing of a queue.
 
 #include <algorithm>
 #include <functional>
@@ -10,17 +10,19 @@
 
 namespace asterstair::store {
 
-/// Runs an action at the earliest of the times it was set to since it last ran.
+/// Timer that can be set several times: it runs its action once, at the earliest of the times set
+/// since the last run.
 ///
-/// ReadQueue and WriteQueue own one each. Its owner must outlive the runtime's timers, which hold
-/// a reference to it and are not cancelled.
+/// ReadQueue and WriteQueue own one each. Its owner must outlive the runtime's timers, which hold a
+/// reference to it and are not cancelled.
 class WakeTimer {
  public:
-  /// @param action  looks at everything that waits; it sets the timer again if anything still does
+  /// @param action  processes the queue; it sets the timer again if the queue is not empty then
   WakeTimer(Runtime& runtime, std::function<void()> action)
       : runtime_(runtime), action_(std::move(action)) {}
 
-  /// Sets the timer to go off after `delay`, unless it goes off earlier already.
+  /// Runs the action after `delay`, unless it is due earlier already. Delays below kMinDelay are
+  /// raised to it.
   void set(Duration delay) {
     delay = std::max<Duration>(delay, kMinDelay);
     const auto at = runtime_.now() + delay;
@@ -34,12 +36,12 @@
   }
 
  private:
-  // Bounds how often a queue is looked at, and lets writes of one turn of the loop gather.
+  // Limits how often a queue is processed, and collects the writes of one event loop iteration.
   static constexpr auto kMinDelay = std::chrono::milliseconds(2);
 
   Runtime& runtime_;
   std::function<void()> action_;
-  std::optional<TimePoint> at_;  // when the action runs next
+  std::optional<TimePoint> at_;  // time of the next run
 };
 
 }  // namespace asterstair::store
--- a/src/store/write_queue.cpp
+++ b/src/store/write_queue.cpp
@@ -13,10 +13,11 @@
 namespace {
 
 constexpr auto kRequestTimeout = 1500ms;
-// Users wait 5 s for the answer to a submission: with the timeout of the request that is kept.
+// Users wait 5 s for the response to a submission; kQueueTimeout and kRequestTimeout fit into that.
 constexpr auto kQueueTimeout = 3s;
 constexpr std::size_t kMaxInFlight = 4;
-// Bytes of a waiting write beside its keys and values: the callback and the containers.
+// Estimated memory of a queued write, excluding its keys and values: the callback and the
+// containers.
 constexpr std::size_t kWriteOverhead = 512;
 
 }  // namespace
@@ -33,11 +34,11 @@
   write.deadline = transport_.now() + kQueueTimeout;
   write.done = std::move(done);
   push_back(queue, std::move(write));
-  // The timer, not this call, sends: writes of the same turn of the loop then travel together.
+  // The timer sends the write, so that writes of the same event loop iteration can form a group.
   wake_.set(Duration::zero());
 }
 
-// Whoever needs the write asks again: a user's request, or the loops of the leader.
+// The queue does not keep the write: the user, or the periodic work of the leader, repeats it.
 void WriteQueue::reject_full_queue(const std::function<void(WriteResult)>& done) {
   if (!full_queue_logged_) {
     log::error("write queue full: more writes wait for the state service than memory allows");
@@ -48,42 +49,42 @@
 
 void WriteQueue::send_ready() {
   for (auto& queue : queues_) {
-    if (send_ready(queue) == Progress::MustWait) return;
+    if (send_ready(queue) == SendResult::MustWait) return;
   }
 }
 
-// Sends what the limits allow, in order. If something must wait, sets the timer for it; while
-// kMaxInFlight requests are under way, the next answer does.
-WriteQueue::Progress WriteQueue::send_ready(Queue& queue) {
+// Sends the queued writes in order as far as the limits allow. If a rate limit delays a write, the
+// timer is set for it. If kMaxInFlight requests are in flight, the next response resumes sending.
+WriteQueue::SendResult WriteQueue::send_ready(Queue& queue) {
   const auto now = transport_.now();
   while (!queue.writes.empty()) {
     if (queue.writes.front().deadline <= now) {
       pop_front(queue).done({});
       continue;
     }
-    if (in_flight_ >= kMaxInFlight) return Progress::MustWait;
+    if (in_flight_ >= kMaxInFlight) return SendResult::MustWait;
     const auto size = group_size(queue);
     const auto changes = static_cast<double>(count_changes(queue, size));
-    const auto wait =
-        std::max(transport_.request_limit().wait_for(1, now), change_limit_.wait_for(changes, now));
+    const auto wait = std::max(transport_.request_limit().time_until_available(1, now),
+                               change_limit_.time_until_available(changes, now));
     if (wait > Duration::zero()) {
       wake_.set(wait);
-      return Progress::MustWait;
+      return SendResult::MustWait;
     }
     transport_.request_limit().take(1, now);
     change_limit_.take(changes, now);
     send(queue, pop_group(queue, size));
   }
-  return Progress::QueueEmpty;
+  return SendResult::QueueEmpty;
 }
 
-// Returns how many writes at the head of the queue may go out as one transaction.
+// Returns how many writes at the head of the queue can be sent as one transaction.
 std::size_t WriteQueue::group_size(const Queue& queue) const {
   const auto& writes = queue.writes;
   GroupCommit group(max_changes_);
   group.add(writes.front().txn, writes.front().size);
   std::size_t size = 1;
-  while (size < writes.size() && !writes.front().alone && !writes[size].alone &&
+  while (size < writes.size() && !writes.front().ungrouped && !writes[size].ungrouped &&
          group.accepts(writes[size].txn, writes[size].size)) {
     group.add(writes[size].txn, writes[size].size);
     ++size;
@@ -102,7 +103,7 @@
   wire::Txn txn;
   for (const auto& write : group) append(txn, write.txn);
   auto shared = std::make_shared<Group>(std::move(group));
-  transport_.send(wire::txn_request(without_repeated_conditions(std::move(txn))), kRequestTimeout,
+  transport_.send(wire::txn_request(deduplicate_conditions(std::move(txn))), kRequestTimeout,
                   [this, &queue, shared](const HttpResponse& response) {
                     --in_flight_;
                     on_response(queue, *shared, response);
@@ -116,7 +117,7 @@
     return;
   }
   if (response.status == http_status::kTooManyRequests) {
-    change_limit_.on_rate_limited(transport_.now(), kRateLimitedPause);
+    change_limit_.on_rate_limited(transport_.now(), kRateLimitPause);
     push_front(queue, group);
     return;
   }
@@ -134,9 +135,10 @@
   };
   Group failed, others;
   for (auto& write : group) (has_failed(write) ? failed : others).push_back(std::move(write));
-  // Only another's condition failed: nothing of these was carried out, and they are sent again.
-  // Each goes alone, so that a conflict whose answer names no keys cannot repeat without end.
-  for (auto& write : others) write.alone = true;
+  // Only conditions of other transactions failed: the changes of these were not applied, and they
+  // are sent again. Each is sent without a group, because a conflict whose response names no keys
+  // would otherwise repeat endlessly.
+  for (auto& write : others) write.ungrouped = true;
   push_front(queue, others);
   for (const auto& write : failed) write.done({WriteOutcome::Conflict, 0});
 }
--- a/src/store/write_queue.hpp
+++ b/src/store/write_queue.hpp
@@ -13,33 +13,35 @@
 
 namespace asterstair::store {
 
-/// Urgency of a transaction: while one waits, no less urgent one is sent.
+/// Urgency of a transaction, most urgent first. A transaction is not sent while a more urgent one
+/// waits.
 enum class Urgency {
-  /// Operations on machines, durable before the cloud is asked: few, and a boot waits for each.
-  Order,
-  /// A user, an operator or a candidate for a lease waits for the answer.
+  /// Operation on machines, which must be durable before the cloud is called. There are few, and a
+  /// machine's boot waits for each.
+  MachineOperation,
+  /// A user, an administrator or a candidate for a lease waits for the result.
   User,
-  /// A job's final record.
-  Final,
-  /// What must be durable before a task starts.
-  Start,
-  /// Nothing waits for it: progress, sweeps and catalogs.
+  /// Final record of a job.
+  JobEnd,
+  /// Record that must be durable before a task starts.
+  TaskStart,
+  /// Record that nothing waits for, such as progress, cleanup or the catalog.
   Lazy
 };
-/// Number of urgencies, each of which has a queue of its own.
-inline constexpr std::size_t kUrgencies = 5;
+/// Number of urgencies. Each urgency has its own queue.
+inline constexpr std::size_t kUrgencyCount = 5;
 
-/// Carries out compare-and-swap transactions within the rate limits on requests and changes. Store
-/// owns one and is its only caller.
+/// Executes compare-and-swap transactions within the rate limits on requests and changes. Store
+/// owns it and is its only caller.
 ///
-/// Consecutive transactions of one urgency that do not touch one another travel as one (group
-/// commit). If a group conflicts, only the transactions whose conditions failed get Conflict; the
-/// others are sent again, each alone.
+/// Consecutive independent transactions of one urgency are sent as one transaction (group commit).
+/// If a group conflicts, only the transactions whose conditions failed get Conflict; the others are
+/// sent again, one by one.
 class WriteQueue {
  public:
   /// @param change_limit  this node's share of the rate limit on changes
-  /// @param max_changes   most changes in one transaction of the state service
-  /// @param max_bytes     bounds the memory of the waiting writes, for each urgency
+  /// @param max_changes   maximum changes in one transaction of the state service
+  /// @param max_bytes     maximum memory of the queued writes of each urgency
   WriteQueue(Transport& transport, TokenBucket change_limit, std::size_t max_changes,
              std::size_t max_bytes)
       : transport_(transport),
@@ -48,16 +50,16 @@
         max_bytes_(max_bytes),
         wake_(transport.runtime(), [this] { send_ready(); }) {}
 
-  /// Queues a transaction. `done` runs exactly once: with NotDone after the queue timeout of 3 s,
-  /// or at once if the queue is full.
+  /// Queues a transaction. `done` runs exactly once. It gets NotApplied if the transaction is not
+  /// sent within the queue timeout of 3 s, or at once if the queue is full.
   void write(wire::Txn txn, Urgency urgency, std::function<void(WriteResult)> done);
 
  private:
   struct Write {
     wire::Txn txn;
-    std::size_t size = 0;  // estimated bytes of the request
-    TimePoint deadline;    // of its sending
-    bool alone = false;    // must not join a group
+    std::size_t size = 0;    // estimated bytes of the request
+    TimePoint deadline;      // latest time to send it
+    bool ungrouped = false;  // must not join a group
     std::function<void(WriteResult)> done;
   };
   struct Queue {
@@ -66,11 +68,11 @@
   };
   using Group = std::vector<Write>;
 
-  /// Whether the less urgent queues may send.
-  enum class Progress { QueueEmpty, MustWait };
+  /// Result of sending from a queue: the less urgent queues may send only after QueueEmpty.
+  enum class SendResult { QueueEmpty, MustWait };
 
   void send_ready();
-  Progress send_ready(Queue& queue);
+  SendResult send_ready(Queue& queue);
   std::size_t group_size(const Queue& queue) const;
   static std::size_t count_changes(const Queue& queue, std::size_t group_size);
   void send(Queue& queue, Group group);
@@ -86,7 +88,7 @@
   TokenBucket change_limit_;
   std::size_t max_changes_, max_bytes_;
   bool full_queue_logged_ = false;
-  std::array<Queue, kUrgencies> queues_;  // by urgency
+  std::array<Queue, kUrgencyCount> queues_;  // by urgency
   std::size_t in_flight_ = 0;
   WakeTimer wake_;
 };
--- a/tests/golden_records_test.cpp
+++ b/tests/golden_records_test.cpp
@@ -1,4 +1,5 @@
-// Stored records as literals. None may change by a byte, or other versions would not understand it.
+// Guards the format of stored records, as literals. Running clusters have stored these keys and
+// values: if a byte changed, other versions of the program could not read the records.
 
 #include <gtest/gtest.h>
 
@@ -32,7 +33,7 @@
   EXPECT_EQ(provisioning::operation_key("r-41-1"), "ledger/machines/r-41-1");
 }
 
-TEST(StoredRecords, LiveJobKeepsItsForm) {
+TEST(StoredRecords, LiveRecordFormatIsStable) {
   for (const char* const job : {kGangJob, kArrayJob}) {
     const std::string literal = R"({"at":1700000000123,"job":)" + std::string(job) + "}";
     const auto record = store::decode_live(wire::parse(literal));
@@ -40,14 +41,14 @@
   }
 }
 
-TEST(StoredRecords, FinalRecordKeepsItsForm) {
+TEST(StoredRecords, FinalRecordFormatIsStable) {
   for (const char* const literal :
        {R"({"end":"done","tasks":16})", R"({"end":"cancelled","tasks":1})"}) {
     EXPECT_EQ(wire::dump(store::encode_final(store::decode_final(wire::parse(literal)))), literal);
   }
 }
 
-TEST(StoredRecords, LeaseHolderKeepsItsForm) {
+TEST(StoredRecords, LeaseHolderFormatIsStable) {
   for (const char* const literal :
        {R"({"claim":17,"contested":true,"node":"ghat-0"})",
         R"({"claim":9223372036854775807,"contested":false,"node":"g"})"}) {
@@ -57,14 +58,14 @@
   EXPECT_FALSE(store::decode_holder(wire::parse(R"({"claim":17,"node":"ghat-0"})")).forced);
 }
 
-TEST(StoredRecords, PreviousHoldersExpiredKeepsItsForm) {
+TEST(StoredRecords, PreviousHoldersExpiredFormatIsStable) {
   const char* const literal = R"({"token":41})";
   EXPECT_EQ(wire::dump(store::encode_previous_holders_expired(
                 store::decode_previous_holders_expired(wire::parse(literal)))),
             literal);
 }
 
-TEST(StoredRecords, ProgressChunkKeepsItsForm) {
+TEST(StoredRecords, ProgressChunkFormatIsStable) {
   constexpr std::size_t kValueBytes = 8192;
   std::vector<bool> done(40, false);
   const char* const literal = R"({"done":"1f08"})";
@@ -75,14 +76,14 @@
   EXPECT_EQ(store::tasks_per_progress_chunk(kValueBytes), 32512U);
 }
 
-TEST(StoredRecords, MachineRegistryKeepsItsForm) {
+TEST(StoredRecords, MachineRegistryFormatIsStable) {
   const char* const literal = R"({"machines":["n-000001","n-000231"]})";
   EXPECT_EQ(wire::dump(store::encode_machine_registry(
                 store::decode_machine_registry(wire::parse(literal)))),
             literal);
 }
 
-TEST(StoredRecords, CatalogKeepsItsForm) {
+TEST(StoredRecords, CatalogFormatIsStable) {
   const char* const literal =
       R"({"flavors":[{"accelerators":8.0,"cores":96.0,"localGb":200.0,"marketPrice":4.5,)"
       R"("name":"g8","price":12.0,"pullGbPerS":1.0,"ramGb":768.0,"readyS":45.0,)"
@@ -90,7 +91,7 @@
   EXPECT_EQ(wire::dump(wire::encode_machine_types(wire::decode_machine_types(literal))), literal);
 }
 
-TEST(StoredRecords, OperationsKeepTheirForm) {
+TEST(StoredRecords, OperationFormatIsStable) {
   const char* const literals[] = {
       R"({"begun":1700000000123,"count":3,"form":1,"holder":"ghat-0","kind":"rent","spot":true,)"
       R"("state":"intended","token":41,"type":"c16","zone":"north"})",
@@ -114,7 +115,7 @@
   }
 }
 
-TEST(StoredRecords, ControlAndOrphansKeepTheirForm) {
+TEST(StoredRecords, ControlAndOrphansFormatIsStable) {
   const char* const control = R"({"form":1,"hand over from":41,"paused":true})";
   EXPECT_EQ(
       wire::dump(provisioning::encode_control(provisioning::decode_control(wire::parse(control)))),
