--- a/src/lease/acquirer.cpp
+++ b/src/lease/acquirer.cpp
@@ -156,10 +156,10 @@
     claim(version, forced);
     return;
   }
-  store_.get_now(options_.expiry_record_key,
-                 step_.begin([this, version](const store::ReadResult& result) {
-                   claim(version, !is_expiry_recorded(result, version));
-                 }));
+  store_.get_unqueued(options_.expiry_record_key,
+                      step_.begin([this, version](const store::ReadResult& result) {
+                        claim(version, !is_expiry_recorded(result, version));
+                      }));
 }
 
 // Whether the expiry record names this version. False if the record is missing, malformed or could
