--- a/src/autoscale/autoscaler.cpp
+++ b/src/autoscale/autoscaler.cpp
@@ -5,10 +5,11 @@
 
 constexpr auto kTickInterval = 1s;
 constexpr Duration kListInterval = 5s;
-// Interval while the leader waits for machines that may hold tasks: a list shows which are gone.
+// Interval while the leader waits for machines that may hold tasks: a list shows which of them no
+// longer exist.
 constexpr Duration kUnreconciledListInterval = 2s;
-// Delay from an answer to a rental to the next scale-out: joins the answers to requests that were
-// sent together.
+// Delay from the result of a rental to the next scale-out, so that the results of requests that
+// were sent together are handled together.
 constexpr auto kScaleOutDelay = 200ms;
 
 }  // namespace
@@ -44,11 +45,11 @@
   });
   events.on_granted = while_running([](Autoscaler& self, const Operation& operation) {
     self.scale_out_.on_granted(operation);
-    self.scale_out_soon();
+    self.schedule_scale_out();
   });
   events.on_not_granted = while_running([](Autoscaler& self, const Operation& operation) {
     self.scale_out_.on_not_granted(operation);
-    self.scale_out_soon();
+    self.schedule_scale_out();
   });
   events.on_returned = while_running(
       [](Autoscaler& self, const Operation& operation) { self.scale_in_.on_returned(operation); });
@@ -62,7 +63,8 @@
   resolve_machines();
   scale_in_.run();
   publish_orphans();
-  // The list shows machines that an earlier leader rented; without it they would be rented again.
+  // The list shows the machines that an earlier leader rented. Without it they would be rented
+  // again.
   if (lister_->has_completed() && term_->reconciled()) scale_out_.run();
 }
 
@@ -89,16 +91,16 @@
   for (const auto& machine : resolved) operations_->resolve_machine(machine);
 }
 
-// A machine that the leader knows is resolved once it is in the machine registry, from which later
-// leaders learn of it. One that the leader does not know is resolved unless it is still pending.
+// A machine that the leader knows is resolved once it is in the machine registry, which later
+// leaders load. A machine that the leader does not know is resolved unless it is still pending.
 bool Autoscaler::is_resolved(const std::string& machine) const {
   const auto* known = term_->machines().find(machine);
   if (known != nullptr) return known->registered;
   return inventory_.pending().count(machine) == 0;
 }
 
-// Requests what is still missing once a rental has its result.
-void Autoscaler::scale_out_soon() {
+// Requests the machines that are still missing after a rental has its result.
+void Autoscaler::schedule_scale_out() {
   if (scale_out_scheduled_) return;
   scale_out_scheduled_ = true;
   runtime_.after(kScaleOutDelay, while_running([](Autoscaler& self) {
--- a/src/autoscale/autoscaler.hpp
+++ b/src/autoscale/autoscaler.hpp
@@ -20,8 +20,8 @@
 
 namespace asterstair::autoscale {
 
-/// Owns the parts of the autoscaler, runs them once a second, and passes lists and results of
-/// operations on to them.
+/// Owns the components of the autoscaler, runs them once a second, and passes machine lists and
+/// operation results to them.
 class Autoscaler : public Stoppable<Autoscaler> {
  public:
   /// Begins a term of the provisioning controller.
@@ -29,10 +29,10 @@
              provisioning::ProvisioningController& provisioning, const Settings& settings,
              const cloud::Catalog& catalog, std::shared_ptr<leader::Term> term);
 
-  /// Recovers the operations of earlier leaders, and begins the loop. Tells the term of the returns
-  /// among them, see leader::Term::on_open_returns_known().
+  /// Recovers the operations of earlier leaders and starts the loop. Reports the returns among them
+  /// to the term, see leader::Term::on_open_returns_known().
   void start();
-  /// Ends the loop and the list in progress.
+  /// Stops the loop and the listing in progress.
   void stop();
 
  private:
@@ -42,7 +42,7 @@
   void on_list(const std::vector<ListedMachine>& machines);
   void resolve_machines();
   bool is_resolved(const std::string& machine) const;
-  void scale_out_soon();
+  void schedule_scale_out();
   void publish_orphans();
 
   Runtime& runtime_;
--- a/src/autoscale/desired_machines.cpp
+++ b/src/autoscale/desired_machines.cpp
@@ -9,25 +9,25 @@
 namespace asterstair::autoscale {
 namespace {
 
-// Job arrays without accelerators may use accelerator machines once they would queue for longer
-// than this many boot times of such a machine.
-constexpr double kBacklogBoots = 0.75;
+// Job arrays without accelerators may use accelerator machines once their backlog reaches this many
+// boot times of such a machine.
+constexpr double kMinBacklogBoots = 0.75;
 
 sched::Resources capacity_of(const MachineType& type) {
   return {type.cpus, type.gpus, type.memory_gb};
 }
 
 // A machine that is pending or to be rented.
-struct FutureMachine {
+struct PlannedMachine {
   const MachineType* type;
   std::string zone;
   bool spot;
-  sched::Resources free;  // what is left after the tasks that it is meant for
+  sched::Resources free;  // resources that are not reserved for tasks
 
   bool allows(const JobSpec& job) const {
     return job.allows_type(type->name) && (!spot || job.spot) && (!job.zone || *job.zone == zone);
   }
-  // Reserves room for up to `limit` tasks; returns for how many there was room.
+  // Reserves resources for up to `limit` tasks. Returns the number of tasks that fit.
   std::uint32_t fill(const JobSpec& job, std::uint32_t limit) {
     std::uint32_t tasks = 0;
     while (tasks < limit && sched::fits(job, free)) {
@@ -38,14 +38,14 @@
   }
 };
 
-// A machine type at one of its two prices.
+// A machine type at its spot price or its on-demand price.
 struct Offer {
   const MachineType* type = nullptr;
   bool spot = false;
-  double price = 0;  // of the room for one task
+  double price = 0;  // of the resources for one task
 };
 
-// Packs the demand onto the pending machines, and onto new ones where these are full.
+// Packs the demand onto the pending machines, and onto new machines once these are full.
 class Packing {
  public:
   Packing(const PendingMachines& pending, const Market& market) : market_(market) {
@@ -58,19 +58,20 @@
 
   void add(const leader::Demand& demand) {
     const JobSpec& job = *demand.job;
-    std::uint32_t tasks_left = demand.tasks;
+    std::uint32_t remaining_tasks = demand.tasks;
     for (auto& machine : machines_) {
-      if (tasks_left == 0) return;
-      if (machine.allows(job)) tasks_left -= machine.fill(job, tasks_left);
+      if (remaining_tasks == 0) return;
+      if (machine.allows(job)) remaining_tasks -= machine.fill(job, remaining_tasks);
     }
-    if (tasks_left == 0) return;
-    if (const auto offer = best_offer(demand)) rent(demand, *offer, tasks_left);
+    if (remaining_tasks == 0) return;
+    if (const auto offer = best_offer(demand)) add_new_machines(demand, *offer, remaining_tasks);
   }
 
   std::vector<DesiredMachines> result() && { return std::move(desired_); }
 
  private:
-  // Returns the loss rate of the safest zone that may have such machines, or nothing if none may.
+  // Returns the lowest loss rate of the zones that the job allows and that have not refused such
+  // machines lately; nothing if there is no such zone.
   std::optional<double> lowest_loss_rate(const JobSpec& job, const MachineType& type,
                                          bool spot) const {
     std::optional<double> lowest;
@@ -83,33 +84,35 @@
     return lowest;
   }
 
-  // Returns the price of the room for one task. The machine's whole room is divided, since other
-  // tasks will share it. Work lost with a machine is paid for again.
+  // Returns the price of the resources for one task: an equal share of the machine's price, since
+  // other tasks will use the rest of the machine. Work that is lost with a machine is paid for
+  // again.
   static double price_per_task(const leader::Demand& demand, const MachineType& type, bool spot,
                                double loss_rate) {
-    constexpr double kLeastCpus = 1e-9;  // avoids a division by zero
+    constexpr double kMinCpus = 1e-9;  // avoids a division by zero
     const JobSpec& job = *demand.job;
-    double tasks = type.cpus / std::max(job.cpus, kLeastCpus);
+    double tasks = type.cpus / std::max(job.cpus, kMinCpus);
     if (job.gpus > 0) tasks = std::min(tasks, type.gpus / job.gpus);
     if (job.memory_gb > 0) tasks = std::min(tasks, type.memory_gb / job.memory_gb);
-    const double runs = 1 + sched::loss_probability(loss_rate, demand.remaining);
+    const double expected_runs = 1 + sched::loss_probability(loss_rate, demand.remaining);
     const double price = spot ? type.spot_price : type.price;
-    return price * runs / std::floor(tasks + sched::kRoundingTolerance);
+    return price * expected_runs / std::floor(tasks + sched::kRoundingTolerance);
   }
 
-  // Whether the job may use the type. Accelerators are kept for jobs that need them, unless the
-  // backlog of other job arrays is long.
+  // Whether the job may use the type. Accelerators are reserved for jobs that need them, unless the
+  // backlog of job arrays without accelerators is long.
   bool is_candidate(const JobSpec& job, const MachineType& type) const {
     if (!job.allows_type(type.name) || type.fits(job) == 0) return false;
     if (job.gpus > 0 || type.gpus <= 0) return true;
-    return !job.gang() && market_.backlog >= type.boot * kBacklogBoots;
+    return !job.gang() && market_.backlog >= type.boot * kMinBacklogBoots;
   }
 
-  // Urgent work prefers the shortest boot time, then the lowest price; other work the lowest price.
+  // Urgent demand prefers the shortest boot time, then the lowest price. Other demand prefers the
+  // lowest price.
   static bool is_better(const leader::Demand& demand, const Offer& offer, const Offer& best) {
-    const bool needless_accelerators =
+    const bool wastes_accelerators =
         demand.job->gpus <= 0 && best.type->gpus <= 0 && offer.type->gpus > 0;
-    if (needless_accelerators) return false;
+    if (wastes_accelerators) return false;
     if (demand.urgent && offer.type->boot != best.type->boot) {
       return offer.type->boot < best.type->boot;
     }
@@ -131,26 +134,29 @@
     return best;
   }
 
-  void rent(const leader::Demand& demand, const Offer& offer, std::uint32_t tasks) {
+  void add_new_machines(const leader::Demand& demand, const Offer& offer, std::uint32_t tasks) {
     const JobSpec& job = *demand.job;
     const MachineType& type = *offer.type;
     const std::string zone = job.zone.value_or(type.zones.front());
-    FutureMachine empty{&type, zone, offer.spot, capacity_of(type)};
-    const std::uint32_t per_machine = FutureMachine(empty).fill(job, tasks);
-    // Tasks shorter than the boot time run one after the other on fewer machines: more machines
-    // would come up too late for them.
-    const double for_all_at_once = std::ceil(static_cast<double>(tasks) / per_machine);
-    const double turns = std::max(1.0, type.boot.count() / std::max(demand.remaining.count(), 1.0));
-    const auto count = static_cast<std::size_t>(std::max(1.0, std::ceil(for_all_at_once / turns)));
-    desire(job, offer, count);
+    PlannedMachine empty{&type, zone, offer.spot, capacity_of(type)};
+    const std::uint32_t per_machine = PlannedMachine(empty).fill(job, tasks);
+    // Tasks that are shorter than the boot time run in several waves on fewer machines, for about
+    // one boot time in total: further machines would boot too late for them.
+    const double machines_for_one_wave = std::ceil(static_cast<double>(tasks) / per_machine);
+    const double wave_count =
+        std::max(1.0, type.boot.count() / std::max(demand.remaining.count(), 1.0));
+    const auto count =
+        static_cast<std::size_t>(std::max(1.0, std::ceil(machines_for_one_wave / wave_count)));
+    add_desired(job, offer, count);
     for (std::size_t i = 0; i < count; ++i) {
       machines_.push_back(empty);
       machines_.back().fill(job, per_machine);
     }
   }
 
-  // Joins equal wishes into one, because the cloud limits the number of requests.
-  void desire(const JobSpec& job, const Offer& offer, std::size_t count) {
+  // Merges machines of the same type, price class and zone rule into one entry, because the cloud
+  // limits the number of requests.
+  void add_desired(const JobSpec& job, const Offer& offer, std::size_t count) {
     const auto is_same = [&](const DesiredMachines& other) {
       return other.type == offer.type->name && other.spot == offer.spot &&
              other.job->zone == job.zone;
@@ -164,7 +170,7 @@
   }
 
   const Market& market_;
-  std::vector<FutureMachine> machines_;
+  std::vector<PlannedMachine> machines_;
   std::vector<DesiredMachines> desired_;
 };
 
--- a/src/autoscale/desired_machines.hpp
+++ b/src/autoscale/desired_machines.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// How many machines of which type the waiting work calls for, beyond the pending ones. Pure;
-/// called by ScaleOut.
+/// Calculates how many machines of which type to rent for the waiting work, beyond the pending
+/// machines. Pure functions, called by ScaleOut.
 
 #include <functional>
 #include <string>
@@ -18,20 +18,20 @@
   std::string type;              ///< name of the machine type
   std::size_t count = 0;         ///< number of machines
   bool spot = false;             ///< spot machines; otherwise on-demand machines
-  const JobSpec* job = nullptr;  ///< the first job that calls for them; its zone rule applies
+  const JobSpec* job = nullptr;  ///< the first job that needs them; its zone rule applies
 };
 
-/// What the leader knows of the cloud's offers.
+/// Machine types, recent capacity and loss rates, and the backlog of work.
 struct Market {
   /// The machine types.
   const cloud::Catalog& catalog;
   std::function<bool(const Pool&)> is_refused;   ///< whether the pool had no capacity lately
-  std::function<double(const Pool&)> loss_rate;  ///< expected losses of one machine, a second
-  /// How long job arrays without accelerators will queue on the machines at hand.
+  std::function<double(const Pool&)> loss_rate;  ///< expected losses per machine and second
+  /// How long job arrays without accelerators are estimated to queue on the existing machines.
   Seconds backlog{0};
 };
 
-/// Returns the machines to rent for `demand`, in the order of the first job that calls for each.
+/// Returns the machines to rent for `demand`, in the order of the first job that needs each.
 std::vector<DesiredMachines> desired_machines(const std::vector<leader::Demand>& demand,
                                               const PendingMachines& pending, const Market& market);
 
--- a/src/autoscale/inventory.cpp
+++ b/src/autoscale/inventory.cpp
@@ -5,11 +5,12 @@
 namespace asterstair::autoscale {
 namespace {
 
-// Lists may be twice the list lag old, and older than the one before. This many lags and the margin
-// are waited before a list is believed.
-constexpr int kListLags = 3;
+// Timeouts are this many list lags plus a margin: a list may be up to twice the list lag old, and
+// older than the previous list.
+constexpr int kListLagFactor = 3;
 constexpr auto kMissingMargin = 10s;
-// Larger for returned machines: one that is forgotten and listed again would look orphaned.
+// Larger for returned machines: a machine that is forgotten and then listed again would look
+// orphaned.
 constexpr auto kReturnedMargin = 60s;
 
 }  // namespace
@@ -28,15 +29,16 @@
 
 void Inventory::on_list(const std::vector<ListedMachine>& machines,
                         const cluster::MachineTable& known, TimePoint now) {
-  add_unknown(machines, known, now);
-  give_up_missing(known, now);
+  adopt_orphans(machines, known, now);
+  remove_missing(known, now);
   prune_returned(now);
 }
 
-// Uses orphaned instances like any other machine. Their rental was answered too late, or its record
-// is gone.
-void Inventory::add_unknown(const std::vector<ListedMachine>& machines,
-                            const cluster::MachineTable& known, TimePoint now) {
+// Adds orphaned instances to the pending machines, so that they are used like any other machine.
+// An instance is orphaned if the response to its rental came too late or the record of the rental
+// is lost.
+void Inventory::adopt_orphans(const std::vector<ListedMachine>& machines,
+                              const cluster::MachineTable& known, TimePoint now) {
   listed_.clear();
   for (const auto& machine : machines) {
     listed_.insert(machine.id);
@@ -48,9 +50,10 @@
   }
 }
 
-// Gives up machines that were taken back by the cloud before their first heartbeat, or never came.
-void Inventory::give_up_missing(const cluster::MachineTable& known, TimePoint now) {
-  const Duration timeout = settings_.list_lag * kListLags + kMissingMargin;
+// Removes pending machines that the cloud terminated before their first heartbeat, or that never
+// appeared.
+void Inventory::remove_missing(const cluster::MachineTable& known, TimePoint now) {
+  const Duration timeout = settings_.list_lag * kListLagFactor + kMissingMargin;
   std::vector<std::string> missing;
   for (const auto& [machine, pending] : pending_) {
     const bool exists = is_listed(machine) || known.find(machine) != nullptr;
@@ -64,7 +67,7 @@
 }
 
 void Inventory::prune_returned(TimePoint now) {
-  const Duration retention = settings_.list_lag * kListLags + kReturnedMargin;
+  const Duration retention = settings_.list_lag * kListLagFactor + kReturnedMargin;
   std::erase_if(returned_, [&](const auto& entry) { return now - entry.second > retention; });
 }
 
--- a/src/autoscale/inventory.hpp
+++ b/src/autoscale/inventory.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Machines between the cloud and the cluster. Owned by Autoscaler. Pure state.
+/// Machines that are rented and not in the cluster yet, or returned and possibly still listed.
+/// Owned by Autoscaler. Sends no requests.
 
 #include <map>
 #include <set>
@@ -14,39 +15,41 @@
 
 namespace asterstair::autoscale {
 
-/// Knows the machines that are rented and have not sent a heartbeat, and those that are returned
-/// and may still be listed. The cloud's lists lag and can go back in time, so a machine that is
-/// absent from a list is believed to be gone only after a timeout.
+/// Keeps the machines that are rented and have not sent a heartbeat, and those that are returned
+/// and may still be listed. The cloud's lists lag and may be older than the previous one, so a
+/// machine that is absent from a list counts as terminated only after a timeout.
 class Inventory {
  public:
   /// Uses the list lag of the settings.
   explicit Inventory(const Settings& settings) : settings_(settings) {}
 
-  /// Tells that a machine was granted. `since` is the time of the rental.
+  /// Called when a machine was granted. `since` is the time of the rental.
   void on_rented(const std::string& machine, const Pool& pool, TimePoint since, TimePoint now);
-  /// Tells that the cloud has confirmed a return.
+  /// Called when the cloud has confirmed a return.
   void on_returned(const std::string& machine, TimePoint now);
-  /// Applies a complete list of the cloud's machines. `known` are those that the leader knows.
+  /// Applies a complete list of the cloud's machines. `known` are the machines that the leader
+  /// knows.
   void on_list(const std::vector<ListedMachine>& machines, const cluster::MachineTable& known,
                TimePoint now);
-  /// Removes pending machines that the leader knows by now.
+  /// Removes pending machines that the leader has come to know.
   void remove_joined(const cluster::MachineTable& known, TimePoint now);
 
   /// Rented machines that have not sent a heartbeat.
   const PendingMachines& pending() const { return pending_; }
-  /// Whether the machine was returned lately: lists may show it still.
+  /// Whether the machine was returned recently, so that lists may still contain it.
   bool was_returned(const std::string& machine) const { return returned_.count(machine) != 0; }
-  /// Whether the latest list has the machine.
+  /// Whether the latest list contains the machine.
   bool is_listed(const std::string& machine) const { return listed_.count(machine) != 0; }
-  /// Returns, once, the pending machines that are given up because the cloud does not list them.
+  /// Returns the pending machines that were removed because the cloud does not list them. Each is
+  /// returned once.
   std::vector<std::string> take_vanished();
   /// Orphaned instances of this term.
   const OrphanTracker& orphans() const { return orphans_; }
 
  private:
-  void add_unknown(const std::vector<ListedMachine>& machines, const cluster::MachineTable& known,
-                   TimePoint now);
-  void give_up_missing(const cluster::MachineTable& known, TimePoint now);
+  void adopt_orphans(const std::vector<ListedMachine>& machines, const cluster::MachineTable& known,
+                     TimePoint now);
+  void remove_missing(const cluster::MachineTable& known, TimePoint now);
   void prune_returned(TimePoint now);
 
   const Settings& settings_;
--- a/src/autoscale/machine_lister.hpp
+++ b/src/autoscale/machine_lister.hpp
@@ -13,7 +13,7 @@
 
 namespace asterstair::autoscale {
 
-/// Reads the list page by page; one list at a time.
+/// Reads the list of machines page by page. One listing is in progress at a time.
 class MachineLister : public Stoppable<MachineLister> {
  public:
   /// Receives a complete list.
@@ -22,16 +22,16 @@
   /// Both references must outlive the callbacks.
   MachineLister(Runtime& runtime, cloud::Cloud& cloud) : runtime_(runtime), cloud_(cloud) {}
 
-  /// Begins a list if the last one began `interval` ago or earlier and the cloud's rate limit has
-  /// room. `on_list` receives the complete list; it is not called if a page fails.
+  /// Begins a listing if the last one began at least `interval` ago and the cloud's rate limit
+  /// allows it. `on_list` receives the complete list; it is not called if a page fails.
   void list_if_due(Duration interval, OnList on_list);
-  /// When the first list was complete; TimePoint{} before.
+  /// When the first listing was complete; TimePoint{} before that.
   TimePoint first_completed() const { return first_completed_; }
-  /// Whether a list has been complete in this term.
+  /// Whether a listing has been completed in this term.
   bool has_completed() const { return first_completed_ != TimePoint{}; }
 
  private:
-  /// A list of which some pages have been read.
+  /// A listing in progress.
   struct Progress {
     std::vector<ListedMachine> machines;
     OnList on_list;
--- a/src/autoscale/orphan_tracker.cpp
+++ b/src/autoscale/orphan_tracker.cpp
@@ -5,16 +5,17 @@
 namespace asterstair::autoscale {
 namespace {
 
-// Administrators see an orphan for this long after it was first noticed, unless it is Waiting
-// still.
+// Resolved orphans are shown to administrators until this long after they were first noticed.
+// Waiting orphans are always shown.
 constexpr auto kResolvedRetention = 10min;
-// Bounds the record in the state service. The log has the others.
-constexpr std::size_t kMostOrphans = 100;
+// Bounds the record in the state service. Further orphans that the cloud lists appear only in the
+// log.
+constexpr std::size_t kMaxOrphans = 100;
 
 }  // namespace
 
 void OrphanTracker::add(const std::string& machine, const Orphan& orphan) {
-  if (orphans_.size() < kMostOrphans) orphans_[machine] = orphan;
+  if (orphans_.size() < kMaxOrphans) orphans_[machine] = orphan;
 }
 
 void OrphanTracker::add_listed(const std::string& machine, TimePoint now) {
--- a/src/autoscale/orphan_tracker.hpp
+++ b/src/autoscale/orphan_tracker.hpp
@@ -10,19 +10,21 @@
 
 namespace asterstair::autoscale {
 
-/// Remembers orphaned instances and what becomes of them. Logs each change.
+/// Records orphaned instances and their states. Logs listed orphans and their changes of state.
 class OrphanTracker {
  public:
-  /// What has become of an orphan.
+  /// State of an orphaned instance.
   using State = provisioning::OrphanedInstance::State;
 
-  /// Adds a machine that the cloud lists and nobody knows.
+  /// Adds a machine that the cloud lists, but that is neither in the operation log nor known to the
+  /// leader.
   void add_listed(const std::string& machine, TimePoint now);
-  /// Sets what has become of a Waiting orphan. Other machines are ignored.
+  /// Sets the final state of a Waiting orphan. Ignores other machines.
   void resolve(const std::string& machine, State state);
-  /// Tells that the cloud has not listed a pending machine for too long.
+  /// Called when the cloud has not listed a pending machine for too long: an orphan has vanished, a
+  /// rented machine has never appeared.
   void on_missing(const std::string& machine, TimePoint now);
-  /// Drops orphans whose state has been final for a while.
+  /// Removes resolved orphans that were first noticed long ago.
   void prune(TimePoint now);
   /// Returns the orphans for administrators, with their times on the wall clock.
   std::vector<provisioning::OrphanedInstance> snapshot(TimePoint now, WallTime wall) const;
--- a/src/autoscale/pool.hpp
+++ b/src/autoscale/pool.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Groups of interchangeable machines, and machines on their way. Shared by the autoscaler's parts.
+/// Pools of interchangeable machines, and pending machines. Used by all components of the
+/// autoscaler.
 
 #include <map>
 #include <string>
@@ -10,7 +11,7 @@
 
 namespace asterstair::autoscale {
 
-/// Machines of one type, zone and price class. Capacity and losses are counted for each pool.
+/// Machines of one type, zone and price class. Refusals and loss rates are tracked per pool.
 struct Pool {
   std::string type;   ///< name of the machine type
   std::string zone;   ///< zone of the machines
@@ -26,7 +27,7 @@
 
 /// A rented machine whose worker has not sent a heartbeat yet.
 struct PendingMachine {
-  /// Where it was rented.
+  /// Pool from which it was rented.
   Pool pool;
   TimePoint since{};       ///< when it was rented
   TimePoint first_seen{};  ///< when this leader learned of it
--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -10,22 +10,22 @@
 
 using provisioning::ReturnReason;
 
-// Boot time assumed of a type that the catalog lacks.
-constexpr Seconds kUnknownBootTime{60};
-// The boot timeout: a multiple of the type's nominal boot time, and a margin for the first
+// Assumed boot time of a type that is not in the catalog.
+constexpr Seconds kDefaultBootTime{60};
+// The boot timeout is this many nominal boot times of the type plus a margin for the first
 // heartbeat.
 constexpr double kBootTimeoutBoots = 4;
 constexpr auto kBootTimeoutMargin = 20s;
-// An idle machine is kept for as many boot times as a replacement would take, and longer while a
-// gang may need it.
-constexpr double kIdleBoots = 1;
+// An idle machine is kept for this many boot times, the time that a replacement would take, and
+// kGangIdleFactor times as long while a gang may need it.
+constexpr double kIdleTimeoutBoots = 1;
 constexpr int kGangIdleFactor = 5;
-// Work with less slack than this many boot times cannot wait for a boot: boots may take that much
-// longer than nominal.
-constexpr double kTightBoots = 2.5;
+// Work with less slack than this many boot times cannot wait for a new machine: a boot may take
+// this many times its nominal duration.
+constexpr double kLowSlackBoots = 2.5;
 // A new leader waits this long after its first list before it returns unlisted machines.
-constexpr auto kFailoverTimeout = 4s;
-// A machine that seems not to receive answers is returned after this many leases.
+constexpr auto kUnlistedTimeout = 4s;
+// A machine that seems not to receive responses is returned after this many lease durations.
 constexpr int kUnresponsiveLeases = 3;
 // A machine whose lease has expired is returned this long after the expiry.
 constexpr auto kLeaseExpiredTimeout = 20s;
@@ -38,9 +38,10 @@
     const bool failed = machine.state == ListedMachine::State::Failed;
     if (failed && !inventory_.was_returned(machine.id)) due_[machine.id] = ReturnReason::Stopped;
   }
-  // A new leader waits for every machine that may hold tasks. The return of one that neither sends
-  // heartbeats nor is listed confirms that it is gone, sooner than its lease expires.
-  if (term_.reconciled() || now - first_list <= kFailoverTimeout) return;
+  // A new leader waits for every machine that may hold tasks. If a machine neither sends heartbeats
+  // nor is listed, the confirmation of its return proves that it is terminated, sooner than its
+  // lease expires.
+  if (term_.reconciled() || now - first_list <= kUnlistedTimeout) return;
   for (const auto& [id, machine] : term_.machines().all()) {
     const bool awaited = !machine.reconciled && !machine.lease_expired;
     if (awaited && !inventory_.is_listed(id)) due_.emplace(id, ReturnReason::Unlisted);
@@ -57,8 +58,8 @@
       continue;
     }
     if (!machine.reconciled || machine.lease_expired || machine.has_active_attempts()) continue;
-    const auto before = idle_since_.find(id);
-    const TimePoint since = before == idle_since_.end() ? now : before->second;
+    const auto previous = idle_since_.find(id);
+    const TimePoint since = previous == idle_since_.end() ? now : previous->second;
     idle_since[id] = since;
     drain_or_return(machine, since, room, now);
   }
@@ -75,7 +76,7 @@
   return out;
 }
 
-// Since the machine became due it may have come up, or shown tasks.
+// A machine may have booted or reported tasks since it became due.
 bool ReturnPolicy::is_still_due(const std::string& machine, ReturnReason reason) const {
   if (provisioning::gives_up_work(reason)) return true;
   if (reason == ReturnReason::FailedBoot) return term_.machines().find(machine) == nullptr;
@@ -87,9 +88,10 @@
     if (term_.machines().find(id) != nullptr) continue;
     const auto boot_timeout =
         to_duration(boot_time(pending.pool.type) * kBootTimeoutBoots) + kBootTimeoutMargin;
-    // A new leader gives running machines the time to send it their first heartbeat.
-    const bool observed = now - pending.first_seen > settings_.lease + kBootTimeoutMargin;
-    if (now - pending.since <= boot_timeout || !observed) continue;
+    // Machines that are already running need time to send a new leader their first heartbeat.
+    const bool observed_long_enough =
+        now - pending.first_seen > settings_.lease + kBootTimeoutMargin;
+    if (now - pending.since <= boot_timeout || !observed_long_enough) continue;
     const bool added = due_.emplace(id, ReturnReason::FailedBoot).second;
     if (added) log::info("machine {} exceeded its boot timeout; it is returned", id);
   }
@@ -97,10 +99,10 @@
 
 Seconds ReturnPolicy::boot_time(const std::string& type) const {
   const auto* known = catalog_.find(type);
-  return known != nullptr ? known->boot : kUnknownBootTime;
+  return known != nullptr ? known->boot : kDefaultBootTime;
 }
 
-// Returns why the machine is of no use, whatever its heartbeats say; nothing if it is usable.
+// Returns why the machine is unusable, whatever its heartbeats report; nothing if it is usable.
 std::optional<ReturnReason> ReturnPolicy::reason_unusable(const cluster::Machine& machine,
                                                           TimePoint now) const {
   const auto& unresponsive_since = machine.health.unresponsive_since;
@@ -114,8 +116,8 @@
   return std::nullopt;
 }
 
-// Drains a machine that is faulty or surplus. A later evaluation declares it due, once no attempts
-// are left on it: exited ones stay until their results are durable.
+// Drains a machine that is faulty or surplus. A later evaluation declares it due once it has no
+// attempts: exited attempts stay until their results are durable.
 void ReturnPolicy::drain_or_return(const cluster::Machine& machine, TimePoint idle_since,
                                    FreeRoom& room, TimePoint now) {
   if (machine.service != cluster::Machine::Service::InUse) {
@@ -125,7 +127,7 @@
   }
   if (!machine.health.faulty && !is_surplus(machine, idle_since, room, now)) return;
   term_.drain(machine.id);
-  // The machines that are examined next must leave enough room without this one.
+  // Machines that are evaluated next must not count on this machine's free room.
   const auto* type = catalog_.find(machine.type);
   if (type == nullptr) return;
   if (type->gpus > 0) {
@@ -135,18 +137,18 @@
   }
 }
 
-// Whether the machine has been idle for long and nothing is expected to need it.
+// Whether the machine has been idle for long and no work is expected to need it.
 bool ReturnPolicy::is_surplus(const cluster::Machine& machine, TimePoint idle_since,
                               const FreeRoom& room, TimePoint now) const {
   const Duration idle = now - idle_since;
-  const Duration idle_timeout = to_duration(boot_time(machine.type) * kIdleBoots);
+  const Duration idle_timeout = to_duration(boot_time(machine.type) * kIdleTimeoutBoots);
   if (!term_.reconciled() || idle <= idle_timeout) return false;
   if (idle <= idle_timeout * kGangIdleFactor && gang_may_need(machine)) return false;
-  return is_spare(machine, room);
+  return is_redundant(machine, room);
 }
 
-// Whether the other machines have room for work that cannot wait for a boot.
-bool ReturnPolicy::is_spare(const cluster::Machine& machine, const FreeRoom& room) const {
+// Whether the other machines have enough free room for work that cannot wait for a boot.
+bool ReturnPolicy::is_redundant(const cluster::Machine& machine, const FreeRoom& room) const {
   const auto* type = catalog_.find(machine.type);
   if (type == nullptr) return true;
   const double expected = expected_arrivals(*type);
@@ -154,7 +156,7 @@
   return type->gpus > 0 ? room.gpus - type->gpus >= expected : room.cpus - type->cpus >= expected;
 }
 
-// Estimates the CPUs, or the accelerators of an accelerator type, that work with little slack will
+// Estimates the CPUs, or for an accelerator type the accelerators, that work with little slack will
 // need within one boot time of the type, at the rate of recent arrivals.
 double ReturnPolicy::expected_arrivals(const MachineType& type) const {
   const bool gpu = type.gpus > 0;
@@ -162,14 +164,14 @@
   for (const auto& arrival : term_.arrivals()) {
     const JobSpec& job = *arrival.job;
     if ((job.gpus > 0) != gpu || !job.allows_type(type.name)) continue;
-    if (arrival.slack >= kTightBoots * type.boot.count()) continue;
+    if (arrival.slack >= kLowSlackBoots * type.boot.count()) continue;
     arrived += job.tasks * (gpu ? job.gpus : job.cpus);
   }
   return arrived * (type.boot.count() / seconds(leader::kArrivalWindow));
 }
 
-// Whether a gang is waiting that could run on this machine together with others. If the machines of
-// a gang were returned one by one as they become idle, they would never be there together.
+// Whether a waiting gang could run on this machine together with others. If machines were returned
+// one by one as they become idle, a gang would never find enough of them at the same time.
 bool ReturnPolicy::gang_may_need(const cluster::Machine& machine) const {
   const auto* type = catalog_.find(machine.type);
   if (type == nullptr) return false;
--- a/src/autoscale/return_policy.hpp
+++ b/src/autoscale/return_policy.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Decides which machines are returned, and why. Owned by ScaleIn, which executes the returns.
+/// Decides which machines are returned and why. Owned by ScaleIn, which executes the returns.
 
 #include <map>
 #include <optional>
@@ -25,18 +25,19 @@
       : settings_(settings), catalog_(catalog), term_(term), inventory_(inventory) {}
 
   /// Applies a complete list of the cloud's machines. Machines that the cloud lists as failed
-  /// become due. So do unlisted ones that a leader still waits for, `kFailoverTimeout` after
-  /// `first_list`, the completion of its first list.
+  /// become due. Unlisted machines that the leader still waits for become due `kUnlistedTimeout`
+  /// after `first_list`, the time at which its first list was complete.
   void on_list(const std::vector<ListedMachine>& machines, TimePoint first_list, TimePoint now);
-  /// Examines all machines. Drains those that are not needed.
+  /// Evaluates all machines. Drains those that are faulty or not needed.
   void evaluate(TimePoint now);
-  /// Returns up to `limit` machines to be returned now. Those that must be empty are empty.
+  /// Returns up to `limit` machines to be returned now. Machines that may be returned only without
+  /// tasks have none.
   provisioning::Returns due_returns(std::size_t limit);
-  /// Tells that the cloud has confirmed the machine's return.
+  /// Called when the cloud has confirmed the machine's return.
   void on_returned(const std::string& machine) { due_.erase(machine); }
 
  private:
-  /// Room for new work on usable machines.
+  /// Free resources on usable machines.
   struct FreeRoom {
     double cpus = 0;  ///< on machines without accelerators
     double gpus = 0;  ///< on machines with accelerators
@@ -50,7 +51,7 @@
   bool is_surplus(const cluster::Machine& machine, TimePoint idle_since, const FreeRoom& room,
                   TimePoint now) const;
   bool gang_may_need(const cluster::Machine& machine) const;
-  bool is_spare(const cluster::Machine& machine, const FreeRoom& room) const;
+  bool is_redundant(const cluster::Machine& machine, const FreeRoom& room) const;
   double expected_arrivals(const MachineType& type) const;
   bool is_still_due(const std::string& machine, provisioning::ReturnReason reason) const;
   FreeRoom free_room() const;
--- a/src/autoscale/scale_in.cpp
+++ b/src/autoscale/scale_in.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr auto kConsolidationInterval = 3s;
-// A machine is spared from consolidation while work for its type has arrived within this time:
-// while work keeps arriving its room will be needed again.
+// A machine is not consolidated if work for its type has arrived within this time: while work keeps
+// arriving, the machine's resources will be needed again.
 constexpr auto kQuietPeriod = 20s;
 
 }  // namespace
@@ -22,8 +22,9 @@
   policy_.on_list(machines, first_list, runtime_.now());
 }
 
-// One return is in flight at a time. Once it is marked, no leader gives the machines work: this one
-// because of Term::begin_return(), later ones because they read the operation log.
+// One return operation is in flight at a time. Once it is recorded, no leader assigns work to its
+// machines: this leader because of Term::begin_return(), later leaders because they read the
+// operation log.
 void ScaleIn::return_due_machines() {
   if (operations_.has_pending_return() || !operations_.may_begin() || !cloud_.may_call()) return;
   const auto returns = policy_.due_returns(wire::kMostReturned);
--- a/src/autoscale/scale_in.hpp
+++ b/src/autoscale/scale_in.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Returns machines that are not needed or not usable. Owned by Autoscaler.
+/// Returns machines that are not needed or unusable. Owned by Autoscaler.
 
 #include <vector>
 
@@ -15,7 +15,8 @@
 
 namespace asterstair::autoscale {
 
-/// Carries out what ReturnPolicy decides, and has the leader consolidate costly machines.
+/// Executes the returns that ReturnPolicy decides on, and has the leader consolidate machines with
+/// costly idle resources.
 class ScaleIn {
  public:
   /// All references must outlive this object.
@@ -29,12 +30,13 @@
         inventory_(inventory),
         policy_(settings, catalog, term, inventory) {}
 
-  /// Drains, returns and consolidates machines. The caller has checked that the lease is valid.
+  /// Drains, returns and consolidates machines. The caller must have checked that the lease is
+  /// valid.
   void run();
-  /// Applies a complete list of the cloud's machines. `first_list` is when this leader's first one
-  /// was complete.
+  /// Applies a complete list of the cloud's machines. `first_list` is the time at which this
+  /// leader's first list was complete.
   void on_list(const std::vector<ListedMachine>& machines, TimePoint first_list);
-  /// Tells that the cloud has confirmed a return, in this term or in an earlier one.
+  /// Called when the cloud has confirmed a return that this leader or an earlier one began.
   void on_returned(const provisioning::Operation& operation);
 
  private:
--- a/src/autoscale/scale_out.cpp
+++ b/src/autoscale/scale_out.cpp
@@ -5,7 +5,7 @@
 namespace asterstair::autoscale {
 namespace {
 
-// A pool without capacity is not asked again for this time.
+// After a pool lacked capacity, no machines are requested from it for this long.
 constexpr auto kRefusalBackoff = 15s;
 
 }  // namespace
@@ -34,27 +34,28 @@
   return round;
 }
 
-// Sends as many requests as the cloud's rate limit allows: an empty cluster is filled in a few
-// rounds. Returns false once no further request may be sent.
+// Sends as many requests as the cloud's rate limit allows, so that an empty cluster is filled in a
+// few rounds. Returns false once no further request may be sent.
 bool ScaleOut::request(const DesiredMachines& desired, Round& round) {
   const auto [entry, added] = round.counts.try_emplace(desired.type);
   CountByZone& counts = entry->second;
   if (added) counts = count_by_zone(desired.type, round.pending);
-  for (std::size_t left = desired.count; left > 0;) {
+  for (std::size_t remaining_count = desired.count; remaining_count > 0;) {
     if (!cloud_.may_call() || !operations_.may_begin()) return false;
     const auto zone = choose_zone(desired, round.requested, counts);
     if (!zone) break;
-    const auto count = std::min(left, wire::kMostRented);
+    const auto count = std::min(remaining_count, wire::kMostRented);
     operations_.rent({desired.type, *zone, desired.spot, count});
     round.requested.insert({desired.type, *zone, desired.spot});
     counts[*zone] += count;
-    left -= count;
+    remaining_count -= count;
   }
   return true;
 }
 
-// Prefers the zone with the fewest machines of the type, since machines are lost by zone. A pool
-// has one request in flight, so that another pool is asked next for what it lacks.
+// Prefers the zone with the fewest machines of the type, since machines of one zone tend to be lost
+// together. A pool has at most one request in flight, so that the machines it cannot supply are
+// requested from another pool next.
 std::optional<std::string> ScaleOut::choose_zone(const DesiredMachines& desired,
                                                  const std::set<Pool>& requested,
                                                  const CountByZone& counts) const {
@@ -101,7 +102,7 @@
                              now);
 }
 
-// Estimates how long the job arrays without accelerators will queue on the machines at hand.
+// Estimates how long the job arrays without accelerators will queue on the existing machines.
 Seconds ScaleOut::backlog() const {
   double cpu_seconds = 0;
   for (const auto& demand : term_.demand()) {
@@ -128,7 +129,8 @@
 void ScaleOut::on_granted(const provisioning::Operation& operation) {
   const auto now = runtime_.now();
   const Pool pool = pool_of(operation.rental);
-  // The time of an earlier leader's rental is known by its wall clock, which may be ahead of ours.
+  // `begun` of an earlier leader's rental is on that leader's wall clock, which may be ahead of
+  // this node's.
   const auto age = std::chrono::duration_cast<Duration>(runtime_.wall() - operation.begun);
   const TimePoint since = now - std::max(age, Duration::zero());
   for (const auto& machine : operation.machines) inventory_.on_rented(machine, pool, since, now);
--- a/src/autoscale/scale_out.hpp
+++ b/src/autoscale/scale_out.hpp
@@ -18,8 +18,7 @@
 
 namespace asterstair::autoscale {
 
-/// Compares the machines that the demand calls for with those that are pending, and requests the
-/// difference, spread over zones.
+/// Requests the machines that the demand needs beyond the pending machines, spread over zones.
 class ScaleOut {
  public:
   /// All references must outlive this object.
@@ -32,19 +31,19 @@
         operations_(operations),
         inventory_(inventory) {}
 
-  /// Requests the machines that are missing now, as far as the cloud's rate limit goes. The caller
-  /// has checked that the lease is valid.
+  /// Requests the machines that are missing, as far as the cloud's rate limit allows. The caller
+  /// must have checked that the lease is valid.
   void run();
-  /// Tells that a rental was granted, in this term or in an earlier one.
+  /// Called when a rental that this leader or an earlier one began was granted.
   void on_granted(const provisioning::Operation& operation);
-  /// Tells that a rental was refused or withdrawn.
+  /// Called when a rental was refused or withdrawn.
   void on_not_granted(const provisioning::Operation& operation);
 
  private:
   using CountByZone = std::map<std::string, std::size_t>;
   /// State of one run().
   struct Round {
-    PendingMachines pending;   ///< granted, or requested and not answered
+    PendingMachines pending;   ///< granted, or requested without a response yet
     std::set<Pool> requested;  ///< pools with a request in flight
     /// Machines that exist, are pending or were requested in this round, by type and zone.
     std::map<std::string, CountByZone> counts;
@@ -68,7 +67,7 @@
   leader::Term& term_;
   provisioning::OperationRunner& operations_;
   Inventory& inventory_;
-  std::map<Pool, TimePoint> refused_until_;  ///< pools that had no capacity lately
+  std::map<Pool, TimePoint> refused_until_;  ///< end of the backoff, by pool without capacity
 };
 
 }  // namespace asterstair::autoscale
