--- a/src/node/catalog_refresher.cpp
+++ b/src/node/catalog_refresher.cpp
@@ -7,9 +7,10 @@
 namespace asterstair {
 namespace {
 
-// Machine types change rarely.
+// Long, since machine types change rarely.
 constexpr auto kRefreshInterval = 60s;
-// Until the cloud has answered once: without types a node may have to refuse submissions.
+// Interval until the cloud has answered once: without machine types a node may have to refuse
+// submissions.
 constexpr auto kRefreshRetryInterval = 2s;
 
 }  // namespace
@@ -46,7 +47,7 @@
   if (first_answer) save_types(types);
 }
 
-// The write is not repeated if it fails: each node writes once after its start.
+// A failed write is not retried: each node writes the types once after its start.
 void CatalogRefresher::save_types(const std::vector<MachineType>& types) {
   auto value = wire::encode_machine_types(types);
   if (wire::dump(value).size() >= settings_.value_bytes) return;
--- a/src/node/catalog_refresher.hpp
+++ b/src/node/catalog_refresher.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Keeps the machine types up to date.
+/// Periodic refresh of the machine types.
 
 #include <optional>
 #include <vector>
@@ -14,15 +14,15 @@
 
 namespace asterstair {
 
-/// Keeps the catalog of machine types current: asks the cloud for them every minute, or every 2 s
-/// until it has answered once.
+/// Keeps the catalog of machine types current: requests them from the cloud every minute, or every
+/// 2 s until the cloud has answered once.
 ///
-/// The types of the first answer are kept in the state service, and read from there by a node that
-/// knows none, so that a node that starts while the cloud is down can decide on submissions. Owned
-/// by Node; the only writer of the catalog.
+/// The types of the first answer are saved in the state service. A node that has no types loads
+/// them from there, so that it can decide on submissions even if it starts while the cloud is down.
+/// Owned by Node; the only writer of the catalog.
 class CatalogRefresher {
  public:
-  /// All references have to outlive this object.
+  /// All references must outlive this object.
   CatalogRefresher(Runtime& runtime, store::Store& store, cloud::Cloud& cloud,
                    const Settings& settings, cloud::Catalog& catalog);
 
--- a/src/node/heartbeat_endpoint.cpp
+++ b/src/node/heartbeat_endpoint.cpp
@@ -9,11 +9,12 @@
 namespace asterstair {
 namespace {
 
-// A peer that the state service answers says so in a gossip message that is made at most so long
-// after a failure here: StoreProbe asks at least once a second, and a message is sent every second.
+// If the state service fails for this node but still answers a peer, the peer's gossip shows so
+// within this time: StoreProbe sends a request at least once a second, and a gossip message is sent
+// every second.
 constexpr auto kPeerDetectionDelay = 2200ms;
-// A state service that has not answered for longer counts as failing.
-constexpr auto kStoreQuietTimeout = 2500ms;
+// The state service counts as failing if it has not answered for longer than this.
+constexpr auto kStoreResponseTimeout = 2500ms;
 
 using frontend::error_response;
 
@@ -40,8 +41,8 @@
   gossip_.on_heartbeat();
   if (!election_.leading()) return not_leader_response();
   auto* term = terms_.term();
-  // A valid lease is not enough: a renewal may succeed again after an outage before the watch has
-  // told what was cancelled meanwhile.
+  // A valid lease is not enough: after an outage a renewal may succeed before the watch has
+  // reported the jobs that were cancelled during the outage.
   if (!election_.lease_valid() || term == nullptr || !term->view_is_fresh()) {
     return error_response(503, "not entitled to give commands at present");
   }
@@ -62,19 +63,19 @@
 HttpResponse HeartbeatEndpoint::not_leader_response() const {
   std::string leader = election_.leader();
   if (leader.empty()) leader = gossip_.announced_leader();
-  // An unreachable node is not named: each try of it costs a worker seconds of its lease, and a
-  // worker that tries the nodes in turn finds whoever takes over.
+  // An unreachable leader is not named: each attempt to reach it costs a worker seconds of its
+  // lease. A worker that gets no name tries the nodes in turn and finds the next leader.
   if (gossip_.peers().is_unreachable(leader, runtime_.now())) leader.clear();
   return {421, wire::encode_not_leader(leader == settings_.node ? "" : leader)};
 }
 
-// Whether other nodes may confirm cancellations that this one cannot see: the state service fails
-// it, or has long not answered, and not every peer has said that it is the same for it. In an
-// outage for all nobody confirms anything, and work goes on being started.
+// Whether other nodes may confirm cancellations that this node cannot see: its requests to the
+// state service fail or have had no answer for long, and not every peer has reported the same. In
+// an outage that affects all nodes no cancellation can be confirmed, so tasks are still started.
 bool HeartbeatEndpoint::may_miss_cancellations() const {
   const auto now = runtime_.now();
   auto failing_since = store_.failing_since();
-  if (failing_since == TimePoint{} && now - store_.last_answer() > kStoreQuietTimeout) {
+  if (failing_since == TimePoint{} && now - store_.last_answer() > kStoreResponseTimeout) {
     failing_since = store_.last_answer();
   }
   if (failing_since == TimePoint{}) return false;
--- a/src/node/heartbeat_endpoint.hpp
+++ b/src/node/heartbeat_endpoint.hpp
@@ -13,21 +13,21 @@
 
 namespace asterstair {
 
-/// Answers the workers' heartbeats: a follower names the leader, and a leader that may act hands
+/// Answers the workers' heartbeats: a follower names the leader, and a leader that may act passes
 /// the heartbeat to its term.
 ///
-/// An answer of the term may renew the worker's lease. It is given only while this node's own lease
+/// A response of the term may renew the worker's lease. It is sent only while this node's own lease
 /// is valid and its view of the live jobs is fresh; otherwise the worker gets 503. Owned by Node,
 /// called by RequestRouter.
 class HeartbeatEndpoint {
  public:
-  /// All references have to outlive this object.
+  /// All references must outlive this object.
   HeartbeatEndpoint(Runtime& runtime, const Settings& settings, const store::Store& store,
                     const leader::Election& election, const TermRunner& terms, PeerGossip& gossip);
 
-  /// Answers the heartbeat in this body, before it returns. 200: the commands of the term. 421:
-  /// this node does not lead; the body names the leader if it is known and reachable. 503: the
-  /// leader may not act now. 400: the body is malformed.
+  /// Returns the response to the heartbeat in `body`. 200: the commands of the term. 421: this node
+  /// does not lead; the response names the leader if it is known and reachable. 503: the leader may
+  /// not act at present. 400: the body is malformed.
   HttpResponse answer(std::string body);
 
  private:
--- a/src/node/leadership_monitor.cpp
+++ b/src/node/leadership_monitor.cpp
@@ -5,13 +5,14 @@
 namespace asterstair {
 namespace {
 
-// Both decisions that blame another node need a state service that has answered here so recently.
+// A failover is forced, and missing heartbeats count as a fault of this node, only if the state
+// service has answered this node within this time.
 constexpr auto kStoreAnswerWindow = 3s;
 // How long requests to the state service fail before a leader counts it as lost.
 constexpr auto kStoreLostTimeout = 4s;
-// A leader that a majority has not heard from for so long is replaced. Gossip messages come every
-// second, and a worker that gets no answer looks for another node after 4 s: by then there should
-// be a new leader.
+// A leader is replaced if a majority of the nodes has not heard from it for this long. Gossip
+// messages are sent every second. A worker that gets no response tries another node after 4 s;
+// there should be a new leader by about then.
 constexpr auto kLeaderSuspectTimeout = 4500ms;
 constexpr auto kLivenessCheckInterval = 500ms;
 
@@ -24,9 +25,9 @@
 
 void LeadershipMonitor::start() { check_leader_liveness(); }
 
-// A leader that is paused or cut off would keep the key until its store lease expires, and the work
-// of workers whose leases are shorter would be lost. A failover is forced only where the state
-// service answers, since nobody can claim in an outage.
+// A paused or partitioned leader would keep the leader key until its store lease expires, and the
+// tasks of workers with shorter leases would be lost. A failover is forced only if the state
+// service answers this node, since no node can claim leadership during an outage.
 void LeadershipMonitor::check_leader_liveness() {
   runtime_.after(kLivenessCheckInterval, [this] { check_leader_liveness(); });
   const std::string& leader = election_.leader();
@@ -37,9 +38,9 @@
   }
 }
 
-// A leader that alone has lost the state service or the workers would hold its store lease while
-// nothing starts or the workers' leases expire. A peer that is spared takes over as soon as it
-// hears that the leader has stepped down.
+// If only the leader has lost the state service or the heartbeats, it would keep its store lease
+// while no task starts or the workers' leases expire. A peer without that impairment takes over as
+// soon as it learns that the leader has stepped down.
 void LeadershipMonitor::check_own_term() {
   const auto* term = terms_.term();
   if (term == nullptr) return;
@@ -47,7 +48,7 @@
   if (!own.any()) return;
   for (const auto& [node, peer] : peers_.statuses()) {
     if (!peer.reachable(runtime_.now()) || !peer.store_reachable) continue;
-    const Impairment reason = spared_by(peer, *term, own);
+    const Impairment reason = unshared_impairment(peer, *term, own);
     if (!reason.any()) continue;
     step_down(node, reason);
     return;
@@ -62,21 +63,21 @@
   return own;
 }
 
-// What of this leader's impairment the peer does not share.
-LeadershipMonitor::Impairment LeadershipMonitor::spared_by(const PeerStatus& peer,
-                                                           const leader::Term& term,
-                                                           const Impairment& own) const {
-  Impairment spared;
-  // The state service has to have answered the peer after it first failed here. An outage would be
-  // the same for all nodes, and must not cost the leader its lease.
-  spared.store = own.store && peer.store_last_answer > store_.failing_since();
-  // If this leader has had no heartbeat in its whole term, the peer must have had one since:
-  // workers that get no answer here try the other nodes. Where nobody gets any heartbeat, all
-  // machines may be gone. Leaders would then step down in turn for ever, and none would lead until
-  // the workers' leases have expired.
-  spared.heartbeats =
+// Returns the part of this leader's impairment that the peer does not share.
+LeadershipMonitor::Impairment LeadershipMonitor::unshared_impairment(const PeerStatus& peer,
+                                                                     const leader::Term& term,
+                                                                     const Impairment& own) const {
+  Impairment unshared;
+  // The state service must have answered the peer after the first failure here. An outage that
+  // affects all nodes must not cost the leader its lease.
+  unshared.store = own.store && peer.store_last_answer > store_.failing_since();
+  // If this leader has received no heartbeat in its term, the peer must have received one since the
+  // term began: workers that get no response here try the other nodes. If no node receives
+  // heartbeats, all machines may be terminated. Without this condition leaders would then step down
+  // in turn endlessly, and none would lead until the workers' leases have expired.
+  unshared.heartbeats =
       own.heartbeats && (term.any_heartbeat() || peer.last_heartbeat > term.last_heartbeat_at());
-  return spared;
+  return unshared;
 }
 
 void LeadershipMonitor::step_down(const std::string& successor, const Impairment& reason) {
--- a/src/node/leadership_monitor.hpp
+++ b/src/node/leadership_monitor.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// When to step down, and when to force a failover.
+/// Decides when to step down and when to force a failover.
 
 #include <string>
 
@@ -12,26 +12,26 @@
 
 namespace asterstair {
 
-/// Decides when leadership has to change hands: when this node, as the leader, steps down, and
-/// when, as a follower, it forces the failover of a suspected leader.
+/// Decides when leadership must move to another node: when this node, as the leader, steps down,
+/// and when, as a follower, it forces the failover of a suspected leader.
 ///
-/// Both are matters of availability. What keeps two leaders apart is the lease, see
+/// Both serve availability only. The lease excludes two leaders at the same time, see
 /// lease::Renewer. docs/design.md explains both decisions under "Handing leadership over" and
 /// "Replacing a silent leader". Owned by Node.
 class LeadershipMonitor {
  public:
-  /// All references have to outlive this object.
+  /// All references must outlive this object.
   LeadershipMonitor(Runtime& runtime, const store::Store& store, leader::Election& election,
                     const TermRunner& terms, const PeerTable& peers);
 
   /// Starts the periodic liveness check of the leader, every 500 ms.
   void start();
-  /// Steps down if this node leads, has alone lost the state service or the workers' heartbeats,
-  /// and a reachable peer has not. Called by Node after each gossip message that it sends.
+  /// Steps down if this node leads and has lost the state service or the workers' heartbeats, and a
+  /// reachable peer has not. Called by Node after each periodic gossip message.
   void check_own_term();
 
  private:
-  /// What a leader may have lost while its peers have not.
+  /// Faults that may affect the leader alone.
   struct Impairment {
     bool store = false;       // requests to the state service fail
     bool heartbeats = false;  // no heartbeats of workers arrive
@@ -41,8 +41,8 @@
 
   void check_leader_liveness();
   Impairment impairment_of(const leader::Term& term) const;
-  Impairment spared_by(const PeerStatus& peer, const leader::Term& term,
-                       const Impairment& own) const;
+  Impairment unshared_impairment(const PeerStatus& peer, const leader::Term& term,
+                                 const Impairment& own) const;
   void step_down(const std::string& successor, const Impairment& reason);
 
   Runtime& runtime_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -3,13 +3,13 @@
 namespace asterstair {
 namespace {
 
-// Pause between two gossip messages to each peer. The timeouts of PeerTable, LeadershipMonitor and
-// HeartbeatEndpoint are multiples of it.
+// Interval of the periodic gossip messages to each peer. The timeouts of PeerTable,
+// LeadershipMonitor and HeartbeatEndpoint are derived from it.
 constexpr auto kGossipInterval = 1s;
 
 }  // namespace
 
-// The callbacks name parts that are constructed later. None runs before start().
+// The callbacks refer to members that are constructed later. None runs before start().
 Node::Node(Runtime& runtime, Settings settings, const Features& features)
     : runtime_(runtime),
       settings_(std::move(settings)),
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One controller node: everything but the sockets.
+/// One controller node, without its sockets.
 
 #include <string>
 
@@ -23,25 +23,25 @@
 
 namespace asterstair {
 
-/// One controller node: everything but the sockets.
+/// One controller node, without its sockets.
 ///
-/// Node owns the parts and wires them together; each decision is taken in a part. The order of the
-/// members is the order of construction: every part refers to those before it. The program creates
-/// one Node, and the simulation one for each simulated process; both feed it requests and gossip
-/// messages. Everything runs on the event loop's thread.
+/// Node owns the components and connects them; all decisions are made in the components. The
+/// members are constructed in the order of their declaration: each refers to members before it. The
+/// program creates one Node, and the simulation creates one for each simulated process; both pass
+/// requests and gossip messages to it. Everything runs on the event loop's thread.
 class Node {
  public:
-  /// `runtime` has to outlive the node, and to run no callback after the node's destruction.
+  /// `runtime` must outlive the node and must run no callback after the node's destruction.
   Node(Runtime& runtime, Settings settings, const Features& features = {});
 
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  /// Begins to campaign for leadership and starts the periodic work. Called once.
+  /// Starts the election and the periodic work. Called once.
   void start();
   /// Handles an HTTP request; `respond` is called exactly once.
   void handle(HttpRequest request, const HttpCallback& respond);
-  /// Takes in a gossip message of a peer.
+  /// Handles a gossip message from a peer.
   void peer_message(const std::string& message);
 
   /// Whether this node leads; its lease may have expired.
--- a/src/node/peer_gossip.cpp
+++ b/src/node/peer_gossip.cpp
@@ -9,10 +9,11 @@
 namespace asterstair {
 namespace {
 
-// The part of a message that the counts may take, in bytes.
+// Maximum size of the counts in a message.
 constexpr std::size_t kMaxCountsBytes = wire::kLargestPeerMessage / 2;
 
-// The leader's own counts and those of a gossip message have the same fields.
+// A template, since the leader's own counts and those of a gossip message are different types with
+// the same fields.
 template <typename Entries>
 frontend::CountsByJob counts_by_job(const Entries& entries) {
   frontend::CountsByJob counts;
@@ -46,13 +47,15 @@
 
 void PeerGossip::announce_leadership() { send(state_message()); }
 
-// The leader may be the one node that the state service refuses, and its watch would tell it
-// nothing. So the node that confirms a cancellation tells the peers before the user.
+// The leader may be the only node that the state service does not answer, so that its watch would
+// not report the cancellation. Therefore the node that confirms a cancellation sends it to its
+// peers before it responds to the user.
 void PeerGossip::announce_cancellation(const std::string& job) {
   if (auto* term = terms_.term()) term->on_job_cancelled(job);
   cancellations_.add(job, runtime_.now());
   auto message = state_message();
-  message.leader.clear();  // the message carries no counts
+  // The message carries no counts. Without a leader's name the peers do not apply its counts.
+  message.leader.clear();
   message.cancelled = {job};
   send(message);
 }
@@ -78,7 +81,7 @@
   return static_cast<std::uint32_t>(std::min<std::int64_t>(age.count(), wire::kUnknownAge));
 }
 
-// Counts serve for display only: the peers show the jobs that are left out as queued.
+// Counts are for display only. The peers show jobs whose counts are omitted as queued.
 void PeerGossip::add_counts(wire::GossipMessage& message,
                             const std::vector<leader::JobCounts>& counts) {
   std::size_t bytes = 0;
--- a/src/node/peer_gossip.hpp
+++ b/src/node/peer_gossip.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Messages between the nodes.
+/// Gossip messages between the nodes.
 
 #include <cstdint>
 #include <string>
@@ -18,34 +18,34 @@
 
 namespace asterstair {
 
-/// Gossip with the peers: tells them this node's state, and takes in theirs.
+/// Gossip with the peers: sends them this node's state and applies theirs.
 ///
-/// Messages may be lost, late or repeated. They speed decisions up, and no invariant rests on them.
-/// What an incoming message may cause: a claim after a peer has stepped down, the loss of this
+/// Messages may be lost, late or repeated. They only speed up decisions; no invariant depends on
+/// them. An incoming message may cause a claim after a peer has stepped down, the loss of this
 /// node's leadership to a higher token, and the stop of cancelled jobs. Owned by Node, which calls
 /// publish() every second.
 class PeerGossip {
  public:
-  /// All references have to outlive this object.
+  /// All references must outlive this object.
   PeerGossip(Runtime& runtime, const Settings& settings, const store::Store& store,
              leader::Election& election, const TermRunner& terms, frontend::Frontend& frontend);
 
-  /// Tells all peers this node's state, the recent cancellations and, if it leads, the counts of
-  /// the jobs' tasks. Gives the counts to this node's frontend, too.
+  /// Sends all peers this node's state, the recent cancellations and, if this node leads, the
+  /// counts of the jobs' tasks. Passes the counts to this node's frontend, too.
   void publish();
-  /// Tells all peers at once that this node leads. Called when a term has begun.
+  /// Tells all peers immediately that this node leads. Called when a term has begun.
   void announce_leadership();
-  /// Tells the term, if this node leads, and all peers of a cancellation. Called by the frontend
-  /// before the user is answered.
+  /// Reports a cancellation to the term, if this node leads, and to all peers. Called by the
+  /// frontend before it responds to the user.
   void announce_cancellation(const std::string& job);
-  /// Takes in a message. One that is malformed or not from a peer is dropped.
+  /// Handles a message. A message that is malformed or not from a peer is dropped.
   void receive(const std::string& bytes);
-  /// Notes that a worker's heartbeat has reached this node, whether it leads or not.
+  /// Records that a worker's heartbeat has reached this node, whether it leads or not.
   void on_heartbeat() { last_heartbeat_ = runtime_.now(); }
 
-  /// The peers as gossip shows them.
+  /// The status of the peers.
   const PeerTable& peers() const { return peers_; }
-  /// The peer that has said, with the highest token so far, that it leads; empty if none has.
+  /// The peer that has announced its leadership with the highest token; empty if none has.
   const std::string& announced_leader() const { return announced_leader_; }
 
  private:
--- a/src/node/peer_table.cpp
+++ b/src/node/peer_table.cpp
@@ -3,7 +3,7 @@
 namespace asterstair {
 namespace {
 
-// Gossip messages come once a second: two may be lost.
+// Gossip messages are sent once a second; two in a row may be lost.
 constexpr auto kReachableWindow = 3s;
 
 }  // namespace
--- a/src/node/peer_table.hpp
+++ b/src/node/peer_table.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What the peers have last said of themselves.
+/// Status of the peers, from their gossip.
 
 #include <map>
 #include <string>
@@ -12,7 +12,7 @@
 
 namespace asterstair {
 
-/// What a peer's gossip has last said. Times are on this node's steady clock; the epoch means
+/// Status of a peer, from its latest gossip. Times are on this node's steady clock; the epoch means
 /// never.
 struct PeerStatus {
   /// When its last message arrived.
@@ -23,37 +23,39 @@
   TimePoint store_last_answer{};
   /// When a worker's heartbeat last reached it.
   TimePoint last_heartbeat{};
-  /// Name of the other node that it follows as the leader.
+  /// Name of the other node that it last reported to follow as the leader.
   std::string leader;
   /// When it last heard from that leader.
   TimePoint leader_last_seen{};
 
-  /// Whether it is alive as far as can be told: its last message is at most 3 s old.
+  /// Whether it is presumed alive: its last message is at most 3 s old.
   bool reachable(TimePoint now) const;
 };
 
-/// The membership view of a node: the status of each peer of the settings file, as gossip tells it.
+/// The membership view of a node: the status of each peer in the settings file, as gossip reports
+/// it.
 ///
-/// Nothing here is more than a hint. A wrong or missing entry may delay a decision or cause a
-/// needless change of leader, and breaks no invariant. Owned and updated by PeerGossip; read by the
-/// parts of the node that decide on liveness.
+/// All of it is only a hint. A wrong or missing entry may delay a decision or cause a needless
+/// change of leader, but violates no invariant. Owned and updated by PeerGossip; read by the
+/// components of the node that decide on liveness.
 class PeerTable {
  public:
   /// `peers` are all other nodes, `started` the start of this process.
   PeerTable(const std::vector<Peer>& peers, TimePoint started);
 
-  /// Takes over what a gossip message says of its sender. False: the sender is not a peer, and the
-  /// message is to be dropped.
+  /// Updates the status of the sender of a gossip message. Returns false if the sender is not a
+  /// peer, so that the message must be dropped.
   bool update(const wire::GossipMessage& message, TimePoint now);
 
   /// The status of each peer, by its name.
   const std::map<std::string, PeerStatus>& statuses() const { return statuses_; }
-  /// When the node was last heard from. For one that never was: the start of this process.
+  /// When the last message of the node arrived; the start of this process if none has.
   TimePoint last_seen(const std::string& node) const;
-  /// Whether the node has been heard from, but not recently.
+  /// Whether messages of the node have arrived, but none recently.
   bool is_unreachable(const std::string& node, TimePoint now) const;
-  /// Whether a majority of all nodes, this one included, follows the leader and has not heard from
-  /// it for longer than `timeout`. A single node may itself be the one that is cut off.
+  /// Whether a majority of all nodes, including this node, follows the leader and has not heard
+  /// from it for longer than `timeout`. One suspecting node does not suffice: it may itself be
+  /// partitioned.
   bool majority_suspects(const std::string& leader, Duration timeout, TimePoint now) const;
 
  private:
--- a/src/node/recent_cancellations.cpp
+++ b/src/node/recent_cancellations.cpp
@@ -5,11 +5,12 @@
 namespace asterstair {
 namespace {
 
-// How long a cancellation is repeated. Ten messages are sent in that time; one of them arrives.
-constexpr auto kRepeatFor = 10s;
-// The part of a message that cancellations may take. The oldest beyond it are told only once, when
-// they are confirmed.
-constexpr std::size_t kMaxMessageBytes = wire::kLargestPeerMessage / 4;
+// How long a cancellation is repeated. Ten messages are sent in this time, so that at least one is
+// expected to arrive.
+constexpr auto kRepeatDuration = 10s;
+// Maximum size of the cancellations in a message. The oldest cancellations beyond it are not
+// repeated; the peers have been sent them once, when they were confirmed.
+constexpr std::size_t kMaxCancellationBytes = wire::kLargestPeerMessage / 4;
 
 std::size_t size_in_message(const std::string& job) {
   return job.size() + wire::kPeerEntryOverhead;
@@ -20,7 +21,7 @@
 void RecentCancellations::add(const std::string& job, TimePoint now) {
   entries_.push_back({now, job});
   message_bytes_ += size_in_message(job);
-  while (message_bytes_ > kMaxMessageBytes) drop_oldest();
+  while (message_bytes_ > kMaxCancellationBytes) drop_oldest();
 }
 
 void RecentCancellations::drop_oldest() {
@@ -29,7 +30,7 @@
 }
 
 std::vector<std::string> RecentCancellations::jobs(TimePoint now) {
-  while (!entries_.empty() && now - entries_.front().confirmed_at > kRepeatFor) drop_oldest();
+  while (!entries_.empty() && now - entries_.front().confirmed_at > kRepeatDuration) drop_oldest();
   std::vector<std::string> jobs;
   jobs.reserve(entries_.size());
   for (const auto& entry : entries_) jobs.push_back(entry.job);
--- a/src/node/recent_cancellations.hpp
+++ b/src/node/recent_cancellations.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Cancellations that are still gossiped.
+/// Cancellations that are repeated in gossip messages.
 
 #include <deque>
 #include <string>
@@ -10,15 +10,15 @@
 
 namespace asterstair {
 
-/// The jobs whose cancellation this node has confirmed lately.
+/// The jobs whose cancellation this node has confirmed recently.
 ///
-/// PeerGossip tells the peers of each at once, and again in every message for 10 s, since a message
-/// may be lost. Bounded to a quarter of a message: the oldest are dropped first.
+/// PeerGossip sends each to the peers immediately, and again in every periodic message for 10 s,
+/// since a message may be lost. Limited to a quarter of a message: the oldest are dropped first.
 class RecentCancellations {
  public:
   /// Adds a job whose cancellation is confirmed now.
   void add(const std::string& job, TimePoint now);
-  /// The jobs that are still to be told of, oldest first. Drops older ones.
+  /// Returns the jobs whose cancellation is still repeated, oldest first. Drops expired entries.
   std::vector<std::string> jobs(TimePoint now);
 
  private:
@@ -29,7 +29,7 @@
   void drop_oldest();
 
   std::deque<Entry> entries_;
-  std::size_t message_bytes_ = 0;  // what the entries take in a message
+  std::size_t message_bytes_ = 0;  // size of the entries in a message
 };
 
 }  // namespace asterstair
--- a/src/node/request_router.cpp
+++ b/src/node/request_router.cpp
@@ -10,7 +10,7 @@
 
 std::string_view path_of(std::string_view target) { return target.substr(0, target.find('?')); }
 
-// Whether the request has the method that its path requires. Answers it with 405 if not.
+// Whether the request has the method that its path requires. Responds with 405 if not.
 bool require_method(const HttpRequest& request, std::string_view method,
                     const HttpCallback& respond) {
   if (request.method == method) return true;
@@ -18,7 +18,7 @@
   return false;
 }
 
-// What follows `/v2/runs/`; empty if the path is another.
+// Returns the part of the path after `/v2/runs/`; empty for any other path.
 std::string_view job_path_of(std::string_view path) {
   if (!path.starts_with(wire::kRunsPath)) return {};
   const auto rest = path.substr(wire::kRunsPath.size());
@@ -72,8 +72,9 @@
 HttpResponse RequestRouter::readiness() const {
   if (!catalog_.known()) return error_response(503, "the machine types are not known yet");
   if (!store_.seems_down()) return {200, "{}"};
-  // A node that alone is without the state service leaves the users to its peers. When no node has
-  // it, leaving and rejoining the load balancer would only add to the outage.
+  // If the state service answers only other nodes, this node reports that it is not ready, so that
+  // users are sent to its peers. If it answers no node, this node stays in the load balancer:
+  // leaving and rejoining would only prolong the outage.
   for (const auto& [node, peer] : peers_.statuses()) {
     if (peer.store_reachable && peer.reachable(runtime_.now())) {
       return error_response(503, "the state service answers other nodes only");
--- a/src/node/request_router.hpp
+++ b/src/node/request_router.hpp
@@ -15,10 +15,10 @@
 
 /// Routes an HTTP request of a worker, a user or the load balancer by its path and method.
 ///
-/// An unknown path gets 404, a known one with another method 405. Owned by Node.
+/// An unknown path gets 404, a known path with a wrong method 405. Owned by Node.
 class RequestRouter {
  public:
-  /// All references have to outlive this object.
+  /// All references must outlive this object.
   RequestRouter(Runtime& runtime, const store::Store& store, const cloud::Catalog& catalog,
                 const PeerTable& peers, frontend::Frontend& frontend,
                 HeartbeatEndpoint& heartbeats);
--- a/src/node/store_probe.cpp
+++ b/src/node/store_probe.cpp
@@ -5,7 +5,7 @@
 namespace asterstair {
 namespace {
 
-// HeartbeatEndpoint counts on a probe within so long, see its kPeerDetectionDelay.
+// HeartbeatEndpoint's kPeerDetectionDelay relies on this interval.
 constexpr auto kProbeInterval = 1s;
 
 }  // namespace
--- a/src/node/store_probe.hpp
+++ b/src/node/store_probe.hpp
@@ -1,20 +1,20 @@
 #pragma once
 /// @file
-/// Keeps an idle node's view of the state service current.
+/// Periodic reads of the state service by an idle node.
 
 #include "base/runtime.hpp"
 #include "store/store.hpp"
 
 namespace asterstair {
 
-/// Keeps the view that an idle node has of the state service current: reads one key whenever no
-/// request has been answered for a second.
+/// Keeps an idle node's view of the state service current: reads one key whenever no request has
+/// been answered for a second.
 ///
-/// Without it an idle node would not notice that the state service has gone or come back, and would
-/// tell its peers and the load balancer so. Owned by Node.
+/// Otherwise an idle node would not notice that the state service has failed or recovered, and
+/// would report an outdated state to its peers and the load balancer. Owned by Node.
 class StoreProbe {
  public:
-  /// Both references have to outlive this object.
+  /// Both references must outlive this object.
   StoreProbe(Runtime& runtime, store::Store& store) : runtime_(runtime), store_(store) {}
 
   /// Starts the periodic probe. Called once.
--- a/src/node/term_runner.hpp
+++ b/src/node/term_runner.hpp
@@ -16,25 +16,25 @@
 
 namespace asterstair {
 
-/// Runs what a node does only while it leads: one leader::Term with its autoscaler, from an
-/// election to the loss of leadership.
+/// Runs the components that a node needs only while it leads: one leader::Term with its autoscaler,
+/// from an election to the loss of leadership.
 ///
-/// Owned by Node, which calls begin() and end() from the election's callbacks. The other parts of
-/// the node look at term().
+/// Owned by Node, which calls begin() and end() from the election's callbacks. The other components
+/// of the node call term().
 class TermRunner {
  public:
-  /// All references have to outlive this object.
+  /// All references must outlive this object.
   TermRunner(Runtime& runtime, store::Store& store, cloud::Cloud& cloud, const Settings& settings,
              const cloud::Catalog& catalog, const leader::Election& election,
              provisioning::ProvisioningController& provisioning);
 
   /// Starts a new term, after ending one that is still running.
   void begin();
-  /// Ends the term. Nothing is ordered, answered or written under its token afterwards. Does
-  /// nothing but end provisioning's term if no term is running.
+  /// Ends the term. Afterwards no command, response or write is sent under its token. If no term is
+  /// running, only the term of the provisioning controller is ended.
   void end();
 
-  /// The running term; null while this node does not lead. Not to be kept across callbacks.
+  /// The running term; null while this node does not lead. Must not be kept across callbacks.
   leader::Term* term() const { return term_.get(); }
 
  private:
