--- a/src/autoscale/scale_in.cpp
+++ b/src/autoscale/scale_in.cpp
@@ -26,7 +26,7 @@
 // because of Term::begin_return(), later ones because they read the operation log.
 void ScaleIn::return_due_machines() {
   if (operations_.has_pending_return() || !operations_.may_begin() || !cloud_.may_call()) return;
-  const auto returns = policy_.due_returns(wire::kMostReturned);
+  const auto returns = policy_.due_returns(wire::kMaxMachinesPerReturn);
   if (returns.empty()) return;
   for (const auto& [machine, reason] : returns) term_.begin_return(machine);
   operations_.return_machines(returns);
--- a/src/autoscale/scale_out.cpp
+++ b/src/autoscale/scale_out.cpp
@@ -44,7 +44,7 @@
     if (!cloud_.may_call() || !operations_.may_begin()) return false;
     const auto zone = choose_zone(desired, round.requested, counts);
     if (!zone) break;
-    const auto count = std::min(left, wire::kMostRented);
+    const auto count = std::min(left, wire::kMaxMachinesPerRental);
     operations_.rent({desired.type, *zone, desired.spot, count});
     round.requested.insert({desired.type, *zone, desired.spot});
     counts[*zone] += count;
--- a/src/cloud/cloud.cpp
+++ b/src/cloud/cloud.cpp
@@ -35,7 +35,8 @@
   using Outcome = Cloud::RentResult::Outcome;
   switch (response.status) {
     case kOk: {
-      auto machines = decode_or_nullopt([&] { return wire::decode_rented(response.body); });
+      auto machines =
+          decode_or_nullopt([&] { return wire::decode_rented_machines(response.body); });
       if (!machines) return {Outcome::Unknown, {}};
       return {Outcome::Rented, std::move(*machines)};
     }
@@ -99,7 +100,7 @@
        [done = std::move(done)](const HttpResponse& response) { done(rent_result(response)); });
 }
 
-void Cloud::return_machines(const wire::ReturnOrder& order,
+void Cloud::return_machines(const wire::ReturnRequest& order,
                             std::function<void(ReturnOutcome)> done) {
   send(wire::return_request(order), [done = std::move(done)](const HttpResponse& response) {
     if (response.status == kFenced) log::error("cloud: a return was fenced off: {}", response.body);
@@ -109,13 +110,14 @@
 
 void Cloud::list_machines(const std::string& after,
                           std::function<void(std::optional<wire::MachinePage>)> done) {
-  send_counted(wire::list_request(after), [done = std::move(done)](const HttpResponse& response) {
-    if (response.status != kOk) {
-      done(std::nullopt);
-      return;
-    }
-    done(decode_or_nullopt([&] { return wire::decode_machines(response.body); }));
-  });
+  send_counted(wire::list_machines_request(after),
+               [done = std::move(done)](const HttpResponse& response) {
+                 if (response.status != kOk) {
+                   done(std::nullopt);
+                   return;
+                 }
+                 done(decode_or_nullopt([&] { return wire::decode_machines(response.body); }));
+               });
 }
 
 }  // namespace asterstair::cloud
--- a/src/cloud/cloud.hpp
+++ b/src/cloud/cloud.hpp
@@ -55,7 +55,7 @@
   /// Rents machines. Idempotent: the cloud executes requests with the same name only once.
   void rent_machines(const wire::RentalRequest& request, std::function<void(RentResult)> done);
   /// Returns machines. Idempotent; unknown machines are ignored.
-  void return_machines(const wire::ReturnOrder& order, std::function<void(ReturnOutcome)> done);
+  void return_machines(const wire::ReturnRequest& order, std::function<void(ReturnOutcome)> done);
   /// Lists one page of the machines whose ids follow `after`; the result is std::nullopt on any
   /// failure. The list may lag behind the actual state by the list lag in the settings.
   void list_machines(const std::string& after,
--- a/src/leader/direct_command_dispatcher.cpp
+++ b/src/leader/direct_command_dispatcher.cpp
@@ -46,11 +46,12 @@
 void DirectCommandDispatcher::send_request(const Request& request,
                                            const cluster::Machine& machine) {
   ++in_flight_;
-  auto body = wire::encode_direct(context_.token, machine.epoch, request.commands);
+  auto body = wire::encode_direct_commands(context_.token, machine.epoch, request.commands);
   auto on_result = [this, response = request.response](const HttpResponse& answer) {
     on_answer(answer, response);
   };
-  context_.runtime.http(machine.address, {"POST", std::string(wire::kDirectPath), std::move(body)},
+  context_.runtime.http(machine.address,
+                        {"POST", std::string(wire::kDirectCommandPath), std::move(body)},
                         kRequestTimeout, context_.while_alive(std::move(on_result)));
 }
 
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Bytes that may be queued for one peer: backpressure drops what is more.
-constexpr std::size_t kMostQueued = 2 * wire::kLargestPeerMessage;
+constexpr std::size_t kMostQueued = 2 * wire::kMaxPeerMessageBytes;
 
 // Incoming connections that are kept.
 constexpr std::size_t kMostIncoming = 16;
@@ -154,7 +154,7 @@
   received.append(data, static_cast<std::size_t>(size));
   while (received.size() >= kLengthBytes) {
     const std::uint32_t length = decode_length(received);
-    if (length > wire::kLargestPeerMessage) {
+    if (length > wire::kMaxPeerMessageBytes) {
       close(connection);
       return;
     }
@@ -219,7 +219,7 @@
 
 void PeerLink::send(const std::string& node, const std::string& message) {
   const auto it = outgoing_.find(node);
-  if (it == outgoing_.end() || message.size() > wire::kLargestPeerMessage) return;
+  if (it == outgoing_.end() || message.size() > wire::kMaxPeerMessageBytes) return;
   Outgoing& peer = *it->second;
   const auto now = Clock::now();
   if (peer.socket != nullptr && peer.is_stuck(now)) close_socket(peer);
--- a/src/node/peer_gossip.cpp
+++ b/src/node/peer_gossip.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // The part of a message that the counts may take, in bytes.
-constexpr std::size_t kMaxCountsBytes = wire::kLargestPeerMessage / 2;
+constexpr std::size_t kMaxCountsBytes = wire::kMaxPeerMessageBytes / 2;
 
 // The leader's own counts and those of a gossip message have the same fields.
 template <typename Entries>
--- a/src/node/recent_cancellations.cpp
+++ b/src/node/recent_cancellations.cpp
@@ -9,7 +9,7 @@
 constexpr auto kRepeatFor = 10s;
 // The part of a message that cancellations may take. The oldest beyond it are told only once, when
 // they are confirmed.
-constexpr std::size_t kMaxMessageBytes = wire::kLargestPeerMessage / 4;
+constexpr std::size_t kMaxMessageBytes = wire::kMaxPeerMessageBytes / 4;
 
 std::size_t size_in_message(const std::string& job) {
   return job.size() + wire::kPeerEntryOverhead;
--- a/src/provisioning/operation.hpp
+++ b/src/provisioning/operation.hpp
@@ -56,7 +56,7 @@
   std::string type;       ///< name of the machine type
   std::string zone;       ///< zone of all machines
   bool spot = false;      ///< spot machines; otherwise on-demand machines
-  std::size_t count = 0;  ///< number of machines; 1 to wire::kMostRented
+  std::size_t count = 0;  ///< number of machines; 1 to wire::kMaxMachinesPerRental
   /// Compares all members.
   bool operator==(const Rental&) const = default;
 };
--- a/src/provisioning/operation_runner.cpp
+++ b/src/provisioning/operation_runner.cpp
@@ -202,7 +202,7 @@
 }
 
 void OperationRunner::send_return(const Operation& operation) {
-  wire::ReturnOrder request;
+  wire::ReturnRequest request;
   for (const auto& [machine, reason] : operation.returns) request.machines.push_back(machine);
   if (authority_.sends_fencing_token()) {
     request.request = operation.name;
--- a/src/provisioning/records.cpp
+++ b/src/provisioning/records.cpp
@@ -62,14 +62,15 @@
   out.zone = wire::text(value, "zone");
   out.spot = wire::flag(value, "spot");
   out.count = wire::integer(value, "count");
-  if (out.count == 0 || out.count > wire::kMostRented) throw DecodeError("count is out of range");
+  if (out.count == 0 || out.count > wire::kMaxMachinesPerRental)
+    throw DecodeError("count is out of range");
   return out;
 }
 
 Returns decode_returns(const Json& value) {
   const Json& machines = wire::member(value, "machines");
   if (!machines.is_object()) throw DecodeError("machines is not an object of names and reasons");
-  if (machines.empty() || machines.size() > wire::kMostReturned) {
+  if (machines.empty() || machines.size() > wire::kMaxMachinesPerReturn) {
     throw DecodeError("machines is empty or has too many entries");
   }
   Returns out;
--- a/src/store/responses.cpp
+++ b/src/store/responses.cpp
@@ -59,7 +59,8 @@
 }
 
 std::set<std::string> decode_conflict_response(const HttpResponse& response) {
-  const auto failed = decode_or_log("txn", [&] { return wire::decode_failed(response.body); });
+  const auto failed =
+      decode_or_log("txn", [&] { return wire::decode_failed_conditions(response.body); });
   if (!failed) return {};
   return {failed->begin(), failed->end()};
 }
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -16,17 +16,17 @@
   type.gpus = number_or(in, name::kGpus, 0);
   type.memory_gb = number(in, name::kMemoryGb);
   type.cache_gb = number_or(in, name::kCacheGb, 0);
-  type.fetch_gb_per_s = number_or(in, name::kFetch, 0);
+  type.fetch_gb_per_s = number_or(in, name::kFetchRate, 0);
   type.price = number_or(in, name::kPrice, 0);
   type.spot_price = number_or(in, name::kSpotPrice, type.price);
-  type.boot = Seconds(number_or(in, name::kBoot, 0));
+  type.boot = Seconds(number_or(in, name::kBootTime, 0));
   for (const auto& zone : list(in, name::kZones)) {
     if (zone.is_string()) type.zones.push_back(zone.get<std::string>());
   }
   return type;
 }
 
-// An unknown state counts as running.
+// Treats an unknown state as running.
 ListedMachine::State decode_machine_state(const std::string& word) {
   if (word == "booting") return ListedMachine::State::Booting;
   if (word == "failed") return ListedMachine::State::Failed;
@@ -36,7 +36,7 @@
 ListedMachine decode_listed_machine(const Json& in) {
   ListedMachine machine;
   machine.id = text(in, name::kId);
-  // The address may be absent or null.
+  // The address is optional.
   if (optional_member(in, name::kAddress) != nullptr) machine.address = text(in, name::kAddress);
   machine.type = text(in, name::kType);
   machine.zone = text(in, name::kZone);
@@ -65,10 +65,10 @@
                    {name::kGpus, type.gpus},
                    {name::kMemoryGb, type.memory_gb},
                    {name::kCacheGb, type.cache_gb},
-                   {name::kFetch, type.fetch_gb_per_s},
+                   {name::kFetchRate, type.fetch_gb_per_s},
                    {name::kPrice, type.price},
                    {name::kSpotPrice, type.spot_price},
-                   {name::kBoot, type.boot.count()},
+                   {name::kBootTime, type.boot.count()},
                    {name::kZones, type.zones}});
   }
   return {{name::kTypes, out}};
@@ -84,7 +84,7 @@
   return {"POST", kMachinesPath, dump(body)};
 }
 
-std::vector<std::string> decode_rented(const std::string& body) {
+std::vector<std::string> decode_rented_machines(const std::string& body) {
   const Json in = parse(body);
   std::vector<std::string> machines;
   for (const auto& machine : list(in, name::kMachines)) {
@@ -93,16 +93,16 @@
   return machines;
 }
 
-HttpRequest return_request(const ReturnOrder& order) {
+HttpRequest return_request(const ReturnRequest& order) {
   Json body = {{name::kMachines, order.machines}};
   if (!order.request.empty()) body[name::kRequest] = order.request;
   if (order.token != 0) body[name::kToken] = order.token;
   return {"POST", kReturnPath, dump(body)};
 }
 
-HttpRequest list_request(const std::string& after) {
+HttpRequest list_machines_request(const std::string& after) {
   std::string target(kMachinesPath);
-  target += "?limit=" + std::to_string(kMostListed);
+  target += "?limit=" + std::to_string(kMaxMachinesPerPage);
   if (!after.empty()) target += "&since=" + after;
   return {"GET", target, ""};
 }
@@ -113,7 +113,7 @@
   for (const auto& machine : list(in, name::kMachines)) {
     page.machines.push_back(decode_listed_machine(machine));
   }
-  page.more = flag_or(in, name::kMore, false);
+  page.more = flag_or(in, name::kHasMore, false);
   return page;
 }
 
--- a/src/wire/command_writer.cpp
+++ b/src/wire/command_writer.cpp
@@ -1,4 +1,4 @@
-// Writes the commands to workers, in answers to heartbeats and in direct requests.
+// Encodes commands to workers, in responses to heartbeats and in direct requests.
 
 #include <fmt/format.h>
 #include <rapidjson/stringbuffer.h>
@@ -15,7 +15,8 @@
 constexpr const char* kStart = "run";
 constexpr const char* kStop = "kill";
 constexpr const char* kAcknowledge = "clear";
-// Most bytes of a command beside its job's name: fixed words and numbers.
+// Upper bound of a command's encoded size, in bytes, without its job ID: field names, fixed values
+// and numbers.
 constexpr std::size_t kCommandOverhead = 140;
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
@@ -55,15 +56,15 @@
   writer.EndObject();
 }
 
-// Leaves out the commands at the end that would make the message too long.
+// Drops commands from the end of the list that exceed the size limit.
 void write_commands(Writer& writer, const std::vector<Command>& commands) {
-  std::size_t room = kLongestAnswer;
+  std::size_t bytes_left = kMaxCommandListBytes;
   writer.Key(name::kCommands);
   writer.StartArray();
   for (const auto& command : commands) {
     const std::size_t size = command.task.job.size() + kCommandOverhead;
-    if (size > room) break;
-    room -= size;
+    if (size > bytes_left) break;
+    bytes_left -= size;
     write_command(writer, command);
   }
   writer.EndArray();
@@ -88,22 +89,22 @@
 }  // namespace
 
 std::string encode_commands(std::uint64_t token, const std::vector<Command>& commands) {
-  // Most answers hold no command, and need no writer.
+  // Fast path: most responses contain no commands.
   if (commands.empty()) {
     return fmt::format(R"({{"{}":{},"{}":[]}})", name::kToken, token, name::kCommands);
   }
   return encode_message(token, std::nullopt, commands);
 }
 
-std::string encode_direct(std::uint64_t token, std::uint64_t epoch,
-                          const std::vector<Command>& commands) {
+std::string encode_direct_commands(std::uint64_t token, std::uint64_t epoch,
+                                   const std::vector<Command>& commands) {
   return encode_message(token, epoch, commands);
 }
 
 std::string encode_not_leader(const std::string& leader) {
-  Json answer = Json::object();
-  if (!leader.empty()) answer[name::kLeader] = leader;
-  return dump(answer);
+  Json response = Json::object();
+  if (!leader.empty()) response[name::kLeader] = leader;
+  return dump(response);
 }
 
 }  // namespace asterstair::wire
--- a/src/wire/heartbeat_decoder.cpp
+++ b/src/wire/heartbeat_decoder.cpp
@@ -1,5 +1,6 @@
-// Decodes workers' heartbeats. A leader reads far more of them than of anything else, so they are
-// parsed in place and by events, straight into the typed message, with no allocation per task.
+// Decodes workers' heartbeats. A leader receives far more heartbeats than any other message, so
+// they are parsed in place by an event-based (SAX) parser, directly into the typed message, without
+// a JSON tree and without an allocation per task.
 
 #include <rapidjson/error/en.h>
 #include <rapidjson/reader.h>
@@ -17,17 +18,17 @@
 
 using Field = HeartbeatField;
 
-/// Handler of the parser's events. RapidJSON prescribes the names of its public functions up to
-/// EndArray(); each returns false to end the parsing.
+/// Handles the events of RapidJSON's parser. RapidJSON requires the names of the public functions
+/// from Null() to EndArray(); each returns false to stop parsing.
 class HeartbeatDecoder {
  public:
   // NOLINTBEGIN(readability-identifier-naming)
-  bool Null() { return on_scalar(); }
+  bool Null() { return check_scalar(); }
 
   bool Bool(bool value) {
-    if (reads(Field::Spot)) set(heartbeat_.spot, value);
-    if (reads(Field::Saved)) set(task_.saved, value);
-    return on_scalar();
+    if (is_reading(Field::Spot)) set(heartbeat_.spot, value);
+    if (is_reading(Field::Saved)) set(task_.saved, value);
+    return check_scalar();
   }
 
   bool Int(int value) { return Int64(value); }
@@ -35,49 +36,50 @@
 
   bool Int64(std::int64_t value) {
     if (value >= 0) return Uint64(static_cast<std::uint64_t>(value));
-    return field_ == Field::Unknown ? on_scalar() : fail("a number is negative", name_of(field_));
+    return field_ == Field::Unknown ? check_scalar()
+                                    : fail("a number is negative", name_of(field_));
   }
 
   bool Uint64(std::uint64_t value) {
-    if (reads(Field::Epoch)) set(heartbeat_.epoch, value);
-    if (reads(Field::Sequence)) set(heartbeat_.sequence, value);
-    if (reads(Field::Token)) set(heartbeat_.token, value);
-    if (reads(Field::Attempt)) set(task_.attempt, value);
-    if (reads(Field::PreemptionNotice)) {
+    if (is_reading(Field::Epoch)) set(heartbeat_.epoch, value);
+    if (is_reading(Field::Sequence)) set(heartbeat_.sequence, value);
+    if (is_reading(Field::Token)) set(heartbeat_.token, value);
+    if (is_reading(Field::Attempt)) set(task_.attempt, value);
+    if (is_reading(Field::PreemptionNotice)) {
       heartbeat_.preemption_notice = Seconds(static_cast<double>(value));
     }
-    return on_scalar();
+    return check_scalar();
   }
 
   bool Double(double value) {
-    if (reads(Field::PreemptionNotice)) {
+    if (is_reading(Field::PreemptionNotice)) {
       if (!std::isfinite(value) || value < 0) {
         return fail("the notice is not a time", name_of(field_));
       }
       heartbeat_.preemption_notice = Seconds(value);
     }
-    return on_scalar();
+    return check_scalar();
   }
 
-  bool RawNumber(const char* /*text*/, unsigned /*size*/, bool /*copy*/) { return on_scalar(); }
+  bool RawNumber(const char* /*text*/, unsigned /*size*/, bool /*copy*/) { return check_scalar(); }
 
   bool String(const char* text, unsigned size, bool /*copy*/) {
     const std::string_view value(text, size);
-    if (reads(Field::Machine)) set(heartbeat_.machine, value);
-    if (reads(Field::Address)) set(heartbeat_.address, value);
-    if (reads(Field::Type)) set(heartbeat_.type, value);
-    if (reads(Field::Zone)) set(heartbeat_.zone, value);
-    if (reads(Field::Task)) set(task_.task, decode_task_id(value));
-    if (reads(Field::State)) set(task_.state, decode_task_state(value));
-    if (reads(Field::Cause)) task_.cause = decode_exit_cause(value);
-    return on_scalar();
+    if (is_reading(Field::Machine)) set(heartbeat_.machine, value);
+    if (is_reading(Field::Address)) set(heartbeat_.address, value);
+    if (is_reading(Field::Type)) set(heartbeat_.type, value);
+    if (is_reading(Field::Zone)) set(heartbeat_.zone, value);
+    if (is_reading(Field::Task)) set(task_.task, decode_task_id(value));
+    if (is_reading(Field::State)) set(task_.state, decode_task_state(value));
+    if (is_reading(Field::Cause)) task_.cause = decode_exit_cause(value);
+    return check_scalar();
   }
 
   bool StartObject() {
-    if (place_ == Place::Outside) {
-      place_ = Place::Heartbeat;
-    } else if (ignored_depth_ == 0 && place_ == Place::Tasks) {
-      place_ = Place::Task;
+    if (position_ == Position::Outside) {
+      position_ = Position::Heartbeat;
+    } else if (ignored_depth_ == 0 && position_ == Position::TaskList) {
+      position_ = Position::Task;
       task_ = TaskStatus{};
       seen_in_task_ = 0;
     } else {
@@ -91,10 +93,10 @@
     const std::string_view name(text, size);
     if (ignored_depth_ > 0) {
       field_ = Field::Unknown;
-    } else if (place_ == Place::Task) {
-      field_ = field_named(name, kHeartbeatTaskFields);
+    } else if (position_ == Position::Task) {
+      field_ = find_field(name, kHeartbeatTaskFields);
     } else {
-      field_ = field_named(name, kHeartbeatFields);
+      field_ = find_field(name, kHeartbeatFields);
     }
     return true;
   }
@@ -105,17 +107,17 @@
       --ignored_depth_;
       return true;
     }
-    if (place_ == Place::Task) return end_task();
-    place_ = Place::Outside;
+    if (position_ == Position::Task) return finish_task();
+    position_ = Position::Outside;
     ended_ = true;
     return true;
   }
 
   bool StartArray() {
-    if (place_ == Place::Outside) return fail("not an object", {});
-    if (reads(Field::Tasks)) {
+    if (position_ == Position::Outside) return fail("not an object", {});
+    if (is_reading(Field::Tasks)) {
       seen_in_heartbeat_ |= field_bit(Field::Tasks);
-      place_ = Place::Tasks;
+      position_ = Position::TaskList;
     } else {
       ++ignored_depth_;
     }
@@ -127,16 +129,16 @@
     if (ignored_depth_ > 0) {
       --ignored_depth_;
     } else {
-      place_ = Place::Heartbeat;
+      position_ = Position::Heartbeat;
     }
     return true;
   }
   // NOLINTEND(readability-identifier-naming)
 
-  /// Why a handler ended the parsing; none if none did.
+  /// Returns the error that stopped the parsing; none if no handler stopped it.
   const std::optional<DecodeError>& failure() const { return failure_; }
 
-  /// Returns the heartbeat. Throws DecodeError if it is incomplete. Called once, after the parsing.
+  /// Moves the heartbeat out. Throws DecodeError if it is incomplete. Called once, after parsing.
   Heartbeat take() {
     const auto missing = missing_field(seen_in_heartbeat_, kHeartbeatFields);
     if (!ended_ || !missing.empty()) throw DecodeError("a field is missing", std::string(missing));
@@ -144,27 +146,28 @@
   }
 
  private:
-  /// Where the parser is, apart from values that are ignored.
-  enum class Place { Outside, Heartbeat, Tasks, Task };
+  /// The parser's position in the message, not counting ignored values.
+  enum class Position { Outside, Heartbeat, TaskList, Task };
 
-  bool reads(Field field) const { return field_ == field && ignored_depth_ == 0; }
+  bool is_reading(Field field) const { return field_ == field && ignored_depth_ == 0; }
 
   template <typename T, typename V>
   void set(T& member, V&& value) {
     member = std::forward<V>(value);
-    (place_ == Place::Task ? seen_in_task_ : seen_in_heartbeat_) |= field_bit(field_);
+    (position_ == Position::Task ? seen_in_task_ : seen_in_heartbeat_) |= field_bit(field_);
   }
 
-  /// Checks that a value which is neither an object nor an array may stand here.
-  bool on_scalar() {
-    if (place_ == Place::Outside) return fail("not an object", {});
-    if (place_ == Place::Tasks && ignored_depth_ == 0) {
+  /// Checks that a value which is neither an object nor an array is valid at the current position.
+  /// Stops the parsing otherwise.
+  bool check_scalar() {
+    if (position_ == Position::Outside) return fail("not an object", {});
+    if (position_ == Position::TaskList && ignored_depth_ == 0) {
       return fail("a task is not an object", name::kTasks);
     }
     return true;
   }
 
-  bool end_task() {
+  bool finish_task() {
     const auto missing = missing_field(seen_in_task_, kHeartbeatTaskFields);
     if (!missing.empty()) return fail("a task's field is missing", missing);
     if (task_.state != TaskState::Exited) {
@@ -172,7 +175,7 @@
       task_.saved = false;
     }
     heartbeat_.tasks.push_back(std::move(task_));
-    place_ = Place::Tasks;
+    position_ = Position::TaskList;
     return true;
   }
 
@@ -182,21 +185,22 @@
   }
 
   Heartbeat heartbeat_;
-  TaskStatus task_;               // the task that is being read
-  Field field_ = Field::Unknown;  // the field whose value comes next
-  Place place_ = Place::Outside;
-  std::size_t ignored_depth_ = 0;  // depth of nesting within a value that is ignored
+  TaskStatus task_;               // the task being decoded
+  Field field_ = Field::Unknown;  // the field of the next value
+  Position position_ = Position::Outside;
+  std::size_t ignored_depth_ = 0;  // nesting depth within an ignored value
   HeartbeatFieldSet seen_in_heartbeat_ = 0, seen_in_task_ = 0;
-  bool ended_ = false;  // the heartbeat's object is complete
+  bool ended_ = false;  // whether the heartbeat's object has ended
   std::optional<DecodeError> failure_;
 };
 
 }  // namespace
 
 Heartbeat decode_heartbeat(std::string body) {
-  // RapidJSON takes a zero byte for the end of its input and would ignore what follows.
+  // RapidJSON treats a zero byte as the end of its input and would ignore the rest of the body.
   if (body.find('\0') != std::string::npos) throw DecodeError("not JSON");
-  // Iterative: nesting takes memory in proportion to the body, whose size is bounded, and no stack.
+  // The iterative parser keeps its nesting state on the heap, in proportion to the bounded size of
+  // the body. Deep nesting therefore cannot overflow the call stack.
   constexpr unsigned kFlags = rapidjson::kParseInsituFlag | rapidjson::kParseIterativeFlag |
                               rapidjson::kParseValidateEncodingFlag;
   HeartbeatDecoder decoder;
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -5,13 +5,13 @@
 namespace asterstair::wire {
 namespace {
 
-// Version of the message's format. Nodes ignore messages of other versions.
+// Version of the message format. Nodes ignore messages with other versions.
 constexpr std::uint32_t kVersion = 5;
 
 // job, done, running
 using PackedCounts = std::tuple<std::string, std::uint32_t, std::uint32_t>;
 
-// The order of the elements is the format.
+// The order of the elements defines the format.
 using PackedGossip = std::tuple<std::uint32_t,              // version
                                 std::string,                // node
                                 std::string,                // leader
--- a/src/wire/state.cpp
+++ b/src/wire/state.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr const char* kStoreLeasesPath = "/grants";
-// Bytes of a change in a request beside its key and value, generously.
+// Upper bound of the size of a change in a request, in bytes, without its key and value.
 constexpr std::size_t kChangeOverhead = 64;
 
 std::string store_lease_path(std::uint64_t store_lease) {
@@ -67,8 +67,8 @@
 
 HttpRequest txn_request(const Txn& txn) {
   return {"POST", "/txn",
-          dump({{name::kIf, encode_conditions(txn.conditions)},
-                {name::kThen, encode_changes(txn.changes)}})};
+          dump({{name::kConditions, encode_conditions(txn.conditions)},
+                {name::kChanges, encode_changes(txn.changes)}})};
 }
 
 HttpRequest create_lease_request(Duration ttl) {
@@ -97,7 +97,7 @@
   const Json in = parse(body);
   ItemPage page;
   for (const auto& item : list(in, name::kItems)) page.items.push_back(decode_listed_item(item));
-  page.more = flag_or(in, name::kMore, false);
+  page.more = flag_or(in, name::kHasMore, false);
   page.revision = integer(in, name::kRevision);
   return page;
 }
@@ -106,10 +106,10 @@
   return integer(parse(body), name::kRevision);
 }
 
-std::vector<std::string> decode_failed(const std::string& body) {
+std::vector<std::string> decode_failed_conditions(const std::string& body) {
   const Json in = parse(body);
   std::vector<std::string> keys;
-  for (const auto& key : list(in, name::kFailed)) {
+  for (const auto& key : list(in, name::kFailedConditions)) {
     if (key.is_string()) keys.push_back(key.get<std::string>());
   }
   return keys;
--- a/src/wire/user.cpp
+++ b/src/wire/user.cpp
@@ -9,46 +9,46 @@
 namespace {
 
 constexpr std::string_view kJobPrefix = "req-";
-// Most characters of a job's name. It is a part of keys, paths and commands.
-constexpr std::size_t kLongestJobId = 64;
-// Most characters of other names; the text of the error says so too.
-constexpr std::size_t kLongestName = 100;
+// Maximum length of a job ID, in bytes. Store keys, URL paths and commands contain job IDs.
+constexpr std::size_t kMaxJobIdLength = 64;
+// Maximum length of other names, in bytes. The error message states the same limit.
+constexpr std::size_t kMaxNameLength = 100;
 
-/// Words of the wire for the values of an enumeration.
+/// A value of an enumeration and its name on the wire.
 template <typename T>
-using Word = std::pair<const char*, T>;
+using EnumName = std::pair<const char*, T>;
 
-const Word<JobKind> kKinds[] = {
+const EnumName<JobKind> kKinds[] = {
     {"batch", JobKind::Array}, {"ensemble", JobKind::Gang}, {"service", JobKind::Service}};
-const Word<Priority> kPriorities[] = {{"critical", Priority::Production},
-                                      {"high", Priority::High},
-                                      {"standard", Priority::Normal},
-                                      {"idle", Priority::Low}};
-const Word<JobStage> kStages[] = {{"queued", JobStage::Queued},
-                                  {"running", JobStage::Running},
-                                  {"done", JobStage::Done},
-                                  {"withdrawn", JobStage::Cancelled}};
+const EnumName<Priority> kPriorities[] = {{"critical", Priority::Production},
+                                          {"high", Priority::High},
+                                          {"standard", Priority::Normal},
+                                          {"idle", Priority::Low}};
+const EnumName<JobStage> kStages[] = {{"queued", JobStage::Queued},
+                                      {"running", JobStage::Running},
+                                      {"done", JobStage::Done},
+                                      {"withdrawn", JobStage::Cancelled}};
 
 template <typename T, std::size_t N>
-T decode_word(const Json& body, const char* key, const Word<T> (&words)[N]) {
-  const auto& text_of_field = text(body, key);
-  for (const auto& [word, value] : words) {
-    if (text_of_field == word) return value;
+T decode_enum(const Json& body, const char* key, const EnumName<T> (&names)[N]) {
+  const auto& field_text = text(body, key);
+  for (const auto& [name, value] : names) {
+    if (field_text == name) return value;
   }
   fail_field(key, "is none of the known values");
 }
 
 template <typename T, std::size_t N>
-const char* word_for(T value, const Word<T> (&words)[N]) {
-  for (const auto& [word, known] : words) {
-    if (value == known) return word;
+const char* enum_name(T value, const EnumName<T> (&names)[N]) {
+  for (const auto& [name, known] : names) {
+    if (value == known) return name;
   }
   return "";
 }
 
 std::string decode_name(const Json& body, const char* key) {
   const auto& value = text(body, key);
-  if (value.empty() || value.size() > kLongestName) {
+  if (value.empty() || value.size() > kMaxNameLength) {
     fail_field(key, "must have 1 to 100 characters");
   }
   return value;
@@ -56,7 +56,7 @@
 
 std::uint32_t decode_task_count(const Json& body) {
   const auto tasks = integer(body, name::kTasks);
-  if (tasks < 1 || tasks > kMostTasks) fail_field(name::kTasks, "must be 1 to 100000");
+  if (tasks < 1 || tasks > kMaxTasksPerJob) fail_field(name::kTasks, "must be 1 to 100000");
   return static_cast<std::uint32_t>(tasks);
 }
 
@@ -75,8 +75,8 @@
   if (!valid_job_id(job.id)) fail_field(name::kId, "must look like req-000412");
   job.job_class = decode_name(body, name::kClass);
   job.team = decode_name(body, name::kTeam);
-  job.kind = decode_word(body, name::kKind, kKinds);
-  job.priority = decode_word(body, name::kPriority, kPriorities);
+  job.kind = decode_enum(body, name::kKind, kKinds);
+  job.priority = decode_enum(body, name::kPriority, kPriorities);
 }
 
 void decode_needs(const Json& body, JobSpec& job) {
@@ -101,7 +101,7 @@
 void decode_times(const Json& body, JobSpec& job) {
   job.estimate = Seconds(number(body, name::kEstimate));
   job.checkpoint = Seconds(number(body, name::kCheckpoint));
-  job.save = Seconds(number(body, name::kSave));
+  job.save = Seconds(number(body, name::kSaveTime));
   if (optional_member(body, name::kDeadline) != nullptr) {
     job.deadline = Seconds(number(body, name::kDeadline));
   }
@@ -111,7 +111,7 @@
 
 bool valid_job_id(std::string_view id) {
   if (!id.starts_with(kJobPrefix) || id.size() <= kJobPrefix.size()) return false;
-  if (id.size() > kLongestJobId) return false;
+  if (id.size() > kMaxJobIdLength) return false;
   return std::all_of(id.begin() + kJobPrefix.size(), id.end(),
                      [](char character) { return character >= '0' && character <= '9'; });
 }
@@ -124,7 +124,7 @@
 }
 
 // Only the fields that may be null may be absent (PROTOCOL): types, zone and deadline.
-// The first wrong field in this order is the one that the user is told.
+// The error names the first invalid field in the order of these calls.
 JobSpec decode_job(const Json& body) {
   JobSpec job;
   decode_identity(body, job);
@@ -138,8 +138,8 @@
   Json out = {{name::kId, job.id},
               {name::kClass, job.job_class},
               {name::kTeam, job.team},
-              {name::kKind, word_for(job.kind, kKinds)},
-              {name::kPriority, word_for(job.priority, kPriorities)},
+              {name::kKind, enum_name(job.kind, kKinds)},
+              {name::kPriority, enum_name(job.priority, kPriorities)},
               {name::kTasks, job.tasks},
               {name::kCpus, job.cpus},
               {name::kGpus, job.gpus},
@@ -151,7 +151,7 @@
               {name::kSpot, job.spot},
               {name::kEstimate, job.estimate.count()},
               {name::kCheckpoint, job.checkpoint.count()},
-              {name::kSave, job.save.count()}};
+              {name::kSaveTime, job.save.count()}};
   if (job.types) out[name::kTypes] = *job.types;
   if (job.zone) out[name::kZone] = *job.zone;
   if (job.deadline) out[name::kDeadline] = job.deadline->count();
@@ -159,13 +159,13 @@
 }
 
 std::string encode_status(const std::string& id, JobStage stage) {
-  return dump({{name::kId, id}, {name::kState, word_for(stage, kStages)}});
+  return dump({{name::kId, id}, {name::kState, enum_name(stage, kStages)}});
 }
 
 std::string encode_status(const std::string& id, JobStage stage, std::uint64_t done,
                           std::uint64_t running) {
   return dump({{name::kId, id},
-               {name::kState, word_for(stage, kStages)},
+               {name::kState, enum_name(stage, kStages)},
                {name::kDone, done},
                {name::kRunning, running}});
 }
--- a/src/wire/user.hpp
+++ b/src/wire/user.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The users' interface: submissions, answers about jobs, and the paths that a node serves.
+/// Submissions from users, responses about jobs, and the HTTP paths that a node serves.
 
 #include <string>
 #include <string_view>
@@ -10,41 +10,41 @@
 
 namespace asterstair::wire {
 
-/// Most tasks of a job (PROTOCOL).
-inline constexpr std::uint32_t kMostTasks = 100'000;
+/// Maximum number of tasks of a job (PROTOCOL).
+inline constexpr std::uint32_t kMaxTasksPerJob = 100'000;
 
-/// Path of the users' jobs.
+/// Path under which users submit, query and cancel jobs.
 inline constexpr std::string_view kRunsPath = "/v2/runs";
-/// Suffix of a job's path that cancels the job.
+/// Suffix of a job's path for a cancellation request.
 inline constexpr std::string_view kAbortSuffix = "/abort";
-/// Path that tells load balancers whether the node can take requests.
+/// Path of the readiness probe for load balancers.
 inline constexpr std::string_view kReadyPath = "/ready";
-/// Path of workers' heartbeats.
+/// Path to which workers send heartbeats.
 inline constexpr std::string_view kHeartbeatPath = "/v1/report";
 
-/// Whether a text has the form of a job's name, such as req-000412.
+/// Returns whether a text is a valid job ID, such as req-000412.
 bool valid_job_id(std::string_view id);
 
-/// Decodes a job's description from a submission or a stored record. Throws DecodeError, whose text
-/// names the field and is sent to the user.
+/// Decodes a job's description from a submission or a stored record. Throws DecodeError; its text
+/// names the invalid field and is sent to the user.
 JobSpec decode_job(const Json& body);
 
-/// Encodes a job's description in the format of a submission, in which it is stored.
+/// Encodes a job's description in the format of a submission. Stored records use the same format.
 Json encode_job(const JobSpec& job);
 
-/// Returns the job's name in a submission; empty if it holds no valid one.
+/// Returns the job ID of a submission; empty if it contains no valid ID.
 std::string job_id_of(const Json& body);
 
-/// Encodes the answer about a job, without counts of its tasks.
+/// Encodes the status of a job without its task counts.
 std::string encode_status(const std::string& id, JobStage stage);
 
-/// Encodes the answer about a job.
-/// @param done     number of done tasks
+/// Encodes the status of a job.
+/// @param done     number of completed tasks
 /// @param running  number of running tasks
 std::string encode_status(const std::string& id, JobStage stage, std::uint64_t done,
                           std::uint64_t running);
 
-/// Encodes an error for the body of an answer to a user or a worker.
+/// Encodes an error as the body of a response to a user or a worker.
 std::string encode_error(std::string_view message);
 
 }  // namespace asterstair::wire
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -120,10 +120,10 @@
       R"({"verb":"clear","piece":"req-000398/0","try":1}]})";
   EXPECT_EQ(wire::encode_commands(41, {}), R"({"baton":41,"orders":[]})");
   EXPECT_EQ(wire::encode_commands(41, commands), R"({"baton":41,)" + orders);
-  EXPECT_EQ(wire::encode_direct(41, 7, commands), R"({"baton":41,"tenure":7,)" + orders);
+  EXPECT_EQ(wire::encode_direct_commands(41, 7, commands), R"({"baton":41,"tenure":7,)" + orders);
   EXPECT_EQ(wire::encode_not_leader("ghat-2"), R"({"foreman":"ghat-2"})");
   EXPECT_EQ(wire::encode_not_leader(""), "{}");
-  EXPECT_EQ(wire::kDirectPath, "/orders");
+  EXPECT_EQ(wire::kDirectCommandPath, "/orders");
 }
 
 // ---- Cloud ----
@@ -139,12 +139,13 @@
                  R"({"hosts":["n-1","n-2"]})");
   expect_request(wire::return_request({{"n-1"}, "d-41-2", 41}), "POST", "/machines/return",
                  R"({"ask":"d-41-2","baton":41,"hosts":["n-1"]})");
-  expect_request(wire::list_request(""), "GET", "/machines?limit=500", "");
-  expect_request(wire::list_request("n-000230"), "GET", "/machines?limit=500&since=n-000230", "");
+  expect_request(wire::list_machines_request(""), "GET", "/machines?limit=500", "");
+  expect_request(wire::list_machines_request("n-000230"), "GET",
+                 "/machines?limit=500&since=n-000230", "");
 }
 
 TEST(CloudMessages, AnswersAreRead) {
-  EXPECT_EQ(wire::decode_rented(R"({"hosts":["n-1","n-2"]})"),
+  EXPECT_EQ(wire::decode_rented_machines(R"({"hosts":["n-1","n-2"]})"),
             (std::vector<std::string>{"n-1", "n-2"}));
   const auto page = wire::decode_machines(
       R"({"hosts":[{"ref":"n-1","endpoint":"10.1.0.232:9000","flavor":"g8","yard":"a",)"
@@ -197,7 +198,7 @@
   EXPECT_TRUE(page.more);
   EXPECT_EQ(page.revision, 431U);
   EXPECT_EQ(wire::decode_revision(R"({"ledger":432})"), 432U);
-  EXPECT_EQ(wire::decode_failed(R"({"failed":["a/b"],"ledger":431})"),
+  EXPECT_EQ(wire::decode_failed_conditions(R"({"failed":["a/b"],"ledger":431})"),
             std::vector<std::string>{"a/b"});
   EXPECT_EQ(wire::decode_store_lease(R"({"hold":7})"), 7U);
   const auto events =
