--- a/src/app/admin.hpp
+++ b/src/app/admin.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Admin commands on provisioning, which the program runs in place of serving. Used by main().
+/// Administrators' commands for provisioning, which the program runs instead of a node. Used by
+/// main().
 
 #include <string>
 
@@ -8,8 +9,8 @@
 
 namespace asterstair::app {
 
-/// Runs the admin command ("show", "pause", "resume" or "hand-over") against the state service and
-/// prints its outcome. Returns the status to exit with: 0, or 1 if the command failed.
+/// Runs the administrators' command ("show", "pause", "resume" or "hand-over") against the state
+/// service and prints its output. Returns the exit status: 0 on success, 1 on failure.
 int run_admin_command(const std::string& command, const Settings& settings);
 
 }  // namespace asterstair::app
--- a/src/app/command_line.cpp
+++ b/src/app/command_line.cpp
@@ -11,7 +11,7 @@
   parser.add_option("--config", out.settings_file, "Settings file (TOML)")->required();
   parser.add_option("--features", out.features_file,
                     "Features file (TOML); without it all are off");
-  // --machine-duty is the former name of --provisioning.
+  // --machine-duty is the former name of --provisioning, accepted for compatibility.
   parser
       .add_option("--provisioning,--machine-duty", out.admin_command,
                   "Show or change who provisions machines, and exit")
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -11,17 +11,17 @@
 namespace asterstair::app {
 namespace {
 
-// The part (1/n) of the node's memory that incomplete requests may use, and its least size in
-// bytes.
-constexpr std::size_t kBufferedPartOfMemory = 8;
-constexpr std::size_t kLeastBuffered = std::size_t{1} * 1024 * 1024;
+// Incomplete requests may use 1/kBufferMemoryDivisor of the node's memory, but at least
+// kMinBufferBytes.
+constexpr std::size_t kBufferMemoryDivisor = 8;
+constexpr std::size_t kMinBufferBytes = std::size_t{1} * 1024 * 1024;
 
 net::HttpServer::Limits server_limits(const Settings& settings) {
   net::HttpServer::Limits limits;
-  // The rest is for the node's own connections: state service, cloud, peers.
+  // The remaining 3/16 are reserved for the node's own connections: state service, cloud, peers.
   limits.connections = settings.max_connections * 13 / 16;
   limits.kept = limits.connections * 7 / 8;
-  limits.buffered = std::max(kLeastBuffered, settings.memory_bytes / kBufferedPartOfMemory);
+  limits.buffered = std::max(kMinBufferBytes, settings.memory_bytes / kBufferMemoryDivisor);
   return limits;
 }
 
--- a/src/frontend/admission.cpp
+++ b/src/frontend/admission.cpp
@@ -6,24 +6,24 @@
 namespace asterstair::frontend {
 namespace {
 
-// Absorbs the rounding of sums of fractions of a processor.
+// Tolerance for rounding errors in sums of fractional CPUs.
 constexpr double kRoundingTolerance = 1e-6;
 
-// A limit of 0 is none.
+// Returns whether the need exceeds the limit. A limit of 0 means no limit.
 bool exceeds(double needed, double limit) {
   return limit > 0 && needed > limit + kRoundingTolerance;
 }
 
-// Whether the job can never run within its team's limit. A gang needs room for all its tasks at
-// once, any other job for one.
+// Returns whether the job can never run within its team's limit. A gang needs resources for all its
+// tasks at once, any other job for at least one task.
 bool exceeds_limit(const JobSpec& job, const TeamSettings& team) {
   const double tasks_at_once = job.gang() ? job.tasks : 1;
   return exceeds(job.cpus * tasks_at_once, team.cpus_max) ||
          exceeds(job.gpus * tasks_at_once, team.gpus_max);
 }
 
-std::optional<HttpResponse> refusal_of(const JobSpec& job, const Settings& settings,
-                                       const cloud::Catalog& catalog) {
+std::optional<HttpResponse> find_rejection(const JobSpec& job, const Settings& settings,
+                                           const cloud::Catalog& catalog) {
   const auto team = settings.teams.find(job.team);
   if (team == settings.teams.end()) return error_response(422, "unknown team");
   if (exceeds_limit(job, team->second)) {
@@ -43,9 +43,9 @@
     const auto json = wire::parse(body);
     decision.id = wire::job_id_of(json);
     decision.job = wire::decode_job(json);
-    decision.refusal = refusal_of(decision.job, settings, catalog);
+    decision.rejection = find_rejection(decision.job, settings, catalog);
   } catch (const wire::DecodeError& error) {
-    decision.refusal = error_response(400, error.what());
+    decision.rejection = error_response(400, error.what());
   }
   return decision;
 }
--- a/src/frontend/admission.hpp
+++ b/src/frontend/admission.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Decides whether a submitted job is admitted.
+/// Admission control: decides whether a submitted job is accepted.
 
 #include <optional>
 #include <string>
@@ -12,18 +12,18 @@
 
 namespace asterstair::frontend {
 
-/// What becomes of a submission, as far as its own content and this node's knowledge tell.
+/// Result of admission control, which depends only on the submission, the settings and the catalog.
 struct AdmissionDecision {
-  /// The job, decoded. Valid only if `refusal` is empty.
+  /// The decoded job. Valid only if `rejection` is empty.
   JobSpec job;
-  /// The answer to a submission that is refused: 400 for a malformed one, 422 for a job that can
-  /// never run here, 503 while the machine types are unknown. Empty: the job is admitted.
-  std::optional<HttpResponse> refusal;
-  /// The id that the submission names; empty if there is no valid one.
+  /// The response to a rejected submission: 400 if it is malformed, 422 if the job can never run in
+  /// this cluster, 503 while the machine types are unknown. Empty: the job is admitted.
+  std::optional<HttpResponse> rejection;
+  /// The job ID in the submission; empty if it contains no valid ID.
   std::string id;
 };
 
-/// Validates the body of a submission against the settings and the catalog. Sends nothing.
+/// Validates the body of a submission against the settings and the catalog. Does no I/O.
 AdmissionDecision decide_admission(const std::string& body, const Settings& settings,
                                    const cloud::Catalog& catalog);
 
--- a/src/frontend/canceller.cpp
+++ b/src/frontend/canceller.cpp
@@ -3,8 +3,8 @@
 namespace asterstair::frontend {
 namespace {
 
-// Writes per request. After one that conflicts or is not answered, the job is read again: it may
-// have ended, or the write may have been carried out.
+// Maximum number of writes per request. After a write that conflicts or whose outcome is unknown,
+// the job is read again: it may have ended, or the write may have been applied.
 constexpr int kMaxAttempts = 4;
 
 }  // namespace
--- a/src/frontend/canceller.hpp
+++ b/src/frontend/canceller.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Cancels jobs in the store.
+/// Cancels jobs by updating their records in the store.
 
 #include <functional>
 #include <string>
@@ -11,28 +11,28 @@
 
 namespace asterstair::frontend {
 
-/// How a cancellation ends.
+/// Outcome of a cancellation.
 enum class CancelOutcome {
-  /// This request has cancelled the job, durably.
+  /// This request cancelled the job. The cancellation is durable.
   Cancelled,
-  /// The job is not live, or could not be read: the JobState tells which.
+  /// The job is not live or could not be read; JobState::outcome distinguishes the cases.
   NotLive,
-  /// The state service does not answer, or no attempt has settled it. The job may be cancelled
-  /// nonetheless; the user repeats the request.
+  /// The state service does not respond, or all attempts conflicted or ended with an unknown
+  /// outcome. The job may be cancelled anyway; the user must retry the request.
   Unavailable
 };
 
-/// Cancels jobs by a compare-and-swap on their live records. Owned by Frontend.
+/// Cancels jobs with a compare-and-swap on their live records. Owned by Frontend.
 class Canceller {
  public:
-  /// Told how the cancellation ended, and the job's state if it was not live.
+  /// Receives the outcome, and the job's state if the job was not live.
   using OnDone = std::function<void(CancelOutcome, const JobState&)>;
 
-  /// All references have to outlive this object.
+  /// All references must outlive this object.
   Canceller(store::Store& store, const Settings& settings, JobLookup& jobs)
       : store_(store), settings_(settings), jobs_(jobs) {}
 
-  /// Cancels the job. `done` runs exactly once; the state is set for NotLive only.
+  /// Cancels the job. Calls `done` exactly once; the state is set only for NotLive.
   void cancel(const std::string& id, const OnDone& done);
 
  private:
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -64,17 +64,17 @@
 
 void Frontend::submit(const std::string& body, const HttpCallback& respond) {
   const auto decision = decide_admission(body, settings_, catalog_);
-  if (!decision.refusal) {
+  if (!decision.rejection) {
     accept(decision.job, respond);
   } else if (decision.id.empty()) {
-    respond(*decision.refusal);
+    respond(*decision.rejection);
   } else {
-    // A job that is known already is never refused, whatever the repeated request looks like.
-    respond_with_state(decision.id, respond, *decision.refusal);
+    // A retried submission of an existing job is never rejected, whatever its other fields contain.
+    respond_with_state(decision.id, respond, *decision.rejection);
   }
 }
 
-// The conditions make a repeated request harmless: a job is created only if its id is new.
+// The conditions make submissions idempotent: the job is created only if its ID is new.
 void Frontend::accept(const JobSpec& job, const HttpCallback& respond) {
   const std::string id = job.id;
   auto value = store::encode_live(job, runtime_.wall());
@@ -96,8 +96,8 @@
                      return;
                    case store::WriteOutcome::Conflict:
                    case store::WriteOutcome::Unknown:
-                     // The job is known already, or the write may have been carried out: reading
-                     // the record tells.
+                     // The job already exists, or the write may have been applied. Reading the
+                     // record determines which.
                      respond_with_state(id, respond, store_unavailable_response());
                      return;
                  }
@@ -116,7 +116,8 @@
         respond({200, wire::encode_status(id, JobStage::Cancelled)});
         return;
       case CancelOutcome::NotLive:
-        // An earlier request, perhaps to another node, has cancelled it: its news may be lost.
+        // An earlier request, possibly to another node, cancelled the job. The notification of that
+        // cancellation may have been lost, so it is repeated.
         if (state.outcome == JobState::Outcome::Final && state.final.cancelled) on_cancelled_(id);
         respond(state_response(id, state, unknown_job_response()));
         return;
--- a/src/frontend/frontend.hpp
+++ b/src/frontend/frontend.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The users' interface: submissions, questions and cancellations.
+/// Handles users' requests: submission, status and cancellation of jobs.
 
 #include <cstdint>
 #include <functional>
@@ -16,40 +16,41 @@
 
 namespace asterstair::frontend {
 
-/// How many tasks of a job are done and running, for display.
+/// Numbers of completed and running tasks of a job, reported to users.
 struct Counts {
-  /// Tasks that are done.
+  /// Number of completed tasks.
   std::uint32_t done = 0;
-  /// Tasks that are running.
+  /// Number of running tasks.
   std::uint32_t running = 0;
 };
-/// Counts of jobs, by their ids.
+/// Task counts of jobs, by job ID.
 using CountsByJob = std::unordered_map<std::string, Counts>;
 
-/// The users' interface, on every node: submission, status and cancellation of jobs.
+/// Handles users' requests on every node: submission, status and cancellation of jobs.
 ///
-/// It keeps no state that matters. Every answer about a job comes from the state service, whether
-/// this node leads or not and whether there is a leader or not. Nothing is confirmed before it is
-/// durable. Owned by Node, called by RequestRouter. Each `respond` is called exactly once, now or
-/// when the state service has answered or timed out.
+/// Keeps no authoritative state: every response about a job is based on the state service, whether
+/// or not this node leads and whether or not a leader exists. Confirms a change only once it is
+/// durable. Owned by Node, called by RequestRouter. Calls each `respond` exactly once, either
+/// immediately or when the state service has responded or timed out.
 class Frontend {
  public:
-  /// Called for each cancellation before its user is answered.
+  /// Called for each cancellation before the response to the user is sent.
   using OnCancelled = std::function<void(const std::string& job)>;
 
-  /// All references have to outlive the frontend.
+  /// All references must outlive the frontend.
   Frontend(Runtime& runtime, store::Store& store, const Settings& settings,
            const cloud::Catalog& catalog, OnCancelled on_cancelled);
 
-  /// Accepts the job that `body` describes. 201: it is accepted. 200: it was known already, with
-  /// its status. 400, 422: it is refused. 503: to be repeated.
+  /// Submits the job that `body` describes. Responds 201 if the job is accepted, 200 with its
+  /// status if it already exists, 400 or 422 if it is rejected, and 503 if the user must retry.
   void submit(const std::string& body, const HttpCallback& respond);
-  /// Answers with the job's status. 200, 404 or 503.
+  /// Responds with the job's status: 200, 404 or 503.
   void status(const std::string& id, const HttpCallback& respond);
-  /// Cancels the job. 200 with its status, which shows how the job ended. 404 or 503.
+  /// Cancels the job. Responds 200 with its status, which shows how the job ended, or 404 or 503.
   void cancel(const std::string& id, const HttpCallback& respond);
 
-  /// Replaces the counts. They come from the leader's term, here or by gossip, once a second.
+  /// Replaces the task counts. The leader's term provides them once a second, on this node or by
+  /// gossip.
   void set_counts(CountsByJob counts) { counts_ = std::move(counts); }
 
  private:
--- a/src/frontend/job_lookup.hpp
+++ b/src/frontend/job_lookup.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Looks up the durable state of a job.
+/// Reads the durable state of jobs from the state service.
 
 #include <cstdint>
 #include <functional>
@@ -14,56 +14,55 @@
 
 namespace asterstair::frontend {
 
-/// What the state service knows about a job.
+/// Durable state of a job, read from the state service.
 struct JobState {
-  /// What the store holds of the job.
+  /// Result of the lookup.
   enum class Outcome {
-    /// Accepted, and neither done nor cancelled. `live` and `live_version` are set.
+    /// The job is accepted and neither done nor cancelled. `live` and `live_version` are set.
     Live,
-    /// Done or cancelled. `final` is set.
+    /// The job is done or cancelled. `final` is set.
     Final,
-    /// No job has this id.
+    /// No job has this ID.
     Absent,
-    /// The state service does not answer, or the record is malformed.
+    /// The state service does not respond, or the record is malformed.
     Unavailable
   };
-  /// What the store holds of the job.
+  /// Result of the lookup.
   Outcome outcome = Outcome::Unavailable;
-  /// Live: the record.
+  /// The live record, if the outcome is Live.
   store::LiveRecord live;
-  /// Version of the live record, for a compare-and-swap.
+  /// Version of the live record, for a compare-and-swap, if the outcome is Live.
   std::uint64_t live_version = 0;
-  /// Final: the record.
+  /// The final record, if the outcome is Final.
   store::FinalRecord final;
 };
 
-/// Looks jobs up in the state service. Keeps the final records it has seen, since how a job ended
-/// never changes.
+/// Looks up jobs in the state service. Caches final records, which never change.
 ///
 /// Owned by Frontend.
 class JobLookup {
  public:
-  /// Told the state of the job.
+  /// Receives the state of the job.
   using OnFound = std::function<void(const JobState&)>;
 
-  /// Both references have to outlive this object.
+  /// Both references must outlive this object.
   JobLookup(Runtime& runtime, store::Store& store) : runtime_(runtime), store_(store) {}
 
-  /// Looks the job up. `done` runs exactly once: at once for a final record that is kept, else when
-  /// the state service has answered or the reads have timed out.
+  /// Looks up the job. Calls `done` exactly once: immediately if the final record is cached,
+  /// otherwise when the state service has responded or the reads have timed out.
   void find(const std::string& id, OnFound done);
 
  private:
-  void on_live_read(const std::string& id, TimePoint asked_at, const store::ReadResult& result,
+  void on_live_read(const std::string& id, TimePoint started_at, const store::ReadResult& result,
                     const OnFound& done);
-  void read_final(const std::string& id, TimePoint asked_at, const OnFound& done);
-  JobState on_final_read(const std::string& id, const store::ReadResult& result);
-  void remember(const std::string& id, const store::FinalRecord& record);
+  void read_final(const std::string& id, TimePoint started_at, const OnFound& done);
+  JobState decode_final_read(const std::string& id, const store::ReadResult& result);
+  void cache_final_record(const std::string& id, const store::FinalRecord& record);
 
   Runtime& runtime_;
   store::Store& store_;
-  std::unordered_map<std::string, store::FinalRecord> finals_;
-  std::list<std::string> finals_order_;  // by when they were added; the oldest is dropped first
+  std::unordered_map<std::string, store::FinalRecord> final_records_;
+  std::list<std::string> final_record_order_;  // in order of insertion; the oldest is evicted first
 };
 
 }  // namespace asterstair::frontend
--- a/src/frontend/responses.cpp
+++ b/src/frontend/responses.cpp
@@ -5,7 +5,7 @@
 namespace asterstair::frontend {
 namespace {
 
-// Value of Retry-After. Users wait at least this long between two polls anyway.
+// Value of Retry-After. Users wait at least this long between polls in any case.
 constexpr std::chrono::seconds kRetryAfter{1};
 
 }  // namespace
--- a/src/frontend/responses.hpp
+++ b/src/frontend/responses.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Responses that several handlers give.
+/// HTTP responses that several handlers share.
 
 #include <string_view>
 
@@ -8,16 +8,17 @@
 
 namespace asterstair::frontend {
 
-/// An HTTP response with this status whose body carries `message` as its error text.
+/// Returns a response with the given status and an error text in its body.
 HttpResponse error_response(int status, std::string_view message);
 
-/// The same with status 503 and `Retry-After`: the client is to repeat its request.
+/// Returns an error response with status 503 and `Retry-After`, which asks the client to retry.
 HttpResponse retry_later_response(std::string_view message);
 
-/// 503 with `Retry-After`: the state service does not answer, so nothing is known or accepted.
+/// Returns a 503 response with `Retry-After` for requests that failed because the state service
+/// does not respond. Nothing can be reported or accepted without it.
 HttpResponse store_unavailable_response();
 
-/// 404: no job has this id.
+/// Returns a 404 response: no job has the requested ID.
 HttpResponse unknown_job_response();
 
 }  // namespace asterstair::frontend
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -12,7 +12,7 @@
 
 using namespace asterstair;
 
-constexpr int kWrongSettings = 2;  // the status to exit with
+constexpr int kInvalidSettingsStatus = 2;  // exit status if a settings or features file is invalid
 
 int run(int argc, char** argv) {
   const auto parsed = app::parse_command_line(argc, argv);
@@ -26,13 +26,13 @@
     if (!command_line.features_file.empty()) features = load_features(command_line.features_file);
   } catch (const SettingsError& error) {
     std::cerr << error.what() << '\n';
-    return kWrongSettings;
+    return kInvalidSettingsStatus;
   }
   if (command_line.check) {
     std::cout << "settings are valid\n";
     return 0;
   }
-  // A write to a connection that its peer has closed must not end the process.
+  // A write to a connection that the peer has closed must not terminate the process.
   std::signal(SIGPIPE, SIG_IGN);
   log::init(settings.node);
   if (!command_line.admin_command.empty()) {
