--- a/tests/golden_fixture.hpp
+++ b/tests/golden_fixture.hpp
@@ -1,5 +1,6 @@
 #pragma once
-// Literals and helpers of the golden tests.
+// Literals and helpers for the golden tests, which compare encoded messages and records with fixed
+// literals.
 
 #include <gtest/gtest.h>
 
@@ -22,7 +23,7 @@
     R"("imageGb":0.1,"lane":"sweep","loaner":false,"owner":"red","pieces":100000,"ramGb":1.0,)"
     R"("rank":"idle","ref":"req-1","scatter":true,"shape":"batch","stashS":0.0,"together":false})";
 
-/// The bytes as hexadecimal digits.
+/// Encodes bytes as hexadecimal digits.
 inline std::string hex(const std::string& bytes) {
   constexpr const char* kDigits = "0123456789abcdef";
   std::string out;
@@ -34,7 +35,7 @@
   return out;
 }
 
-/// The bytes of hexadecimal digits.
+/// Decodes hexadecimal digits to bytes.
 inline std::string unhex(const std::string& digits) {
   std::string out;
   for (std::size_t i = 0; i + 1 < digits.size(); i += 2) {
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -1,5 +1,6 @@
-// Messages on the wire and between nodes as literals. None may change by a byte, or other versions,
-// workers and users would not understand it.
+// Compares encoded and decoded messages with literals. A change of a single byte in a message
+// format breaks compatibility with users, workers, the cloud, the state service and nodes of other
+// versions.
 
 #include <gtest/gtest.h>
 
@@ -18,7 +19,7 @@
 
 // ---- Users ----
 
-TEST(UserMessages, SubmissionsAreReadAndWrittenAlike) {
+TEST(UserMessages, SubmissionsRoundTrip) {
   for (const char* const literal : {kGangJob, kArrayJob}) {
     EXPECT_EQ(wire::dump(wire::encode_job(wire::decode_job(wire::parse(literal)))), literal);
   }
@@ -45,7 +46,7 @@
   EXPECT_EQ(job.deadline, Seconds(900));
 }
 
-TEST(UserMessages, AnswersKeepTheirForm) {
+TEST(UserMessages, ResponsesMatchTheirLiterals) {
   EXPECT_EQ(wire::encode_status("req-1", JobStage::Queued), R"({"ref":"req-1","stage":"queued"})");
   EXPECT_EQ(wire::encode_status("req-1", JobStage::Cancelled),
             R"({"ref":"req-1","stage":"withdrawn"})");
@@ -62,8 +63,8 @@
 
 // ---- Workers ----
 
-TEST(WorkerMessages, HeartbeatsAreRead) {
-  const auto report = wire::decode_heartbeat(
+TEST(WorkerMessages, HeartbeatsAreDecoded) {
+  const auto heartbeat = wire::decode_heartbeat(
       R"({"host":"n-000231","endpoint":"10.1.0.232:9000","flavor":"g8","yard":"a","loaner":true,)"
       R"("tenure":1,"tick":88,"baton":41,"warningS":12.5,"pieces":[)"
       R"({"piece":"req-000412/3","try":2,"stage":"pulling"},)"
@@ -78,49 +79,50 @@
       R"({"piece":"req-1/5","try":1,"stage":"exited","cause":"no_room"},)"
       R"({"piece":"req-1/6","try":1,"stage":"exited","cause":"in_use"},)"
       R"({"piece":"req-1/7","try":1,"stage":"exited","cause":"no_such"}]})");
-  EXPECT_EQ(report.machine, "n-000231");
-  EXPECT_EQ(report.address, "10.1.0.232:9000");
-  EXPECT_EQ(report.type, "g8");
-  EXPECT_EQ(report.zone, "a");
-  EXPECT_TRUE(report.spot);
-  EXPECT_EQ(report.epoch, 1U);
-  EXPECT_EQ(report.sequence, 88U);
-  EXPECT_EQ(report.token, 41U);
-  EXPECT_EQ(report.preemption_notice, Seconds(12.5));
+  EXPECT_EQ(heartbeat.machine, "n-000231");
+  EXPECT_EQ(heartbeat.address, "10.1.0.232:9000");
+  EXPECT_EQ(heartbeat.type, "g8");
+  EXPECT_EQ(heartbeat.zone, "a");
+  EXPECT_TRUE(heartbeat.spot);
+  EXPECT_EQ(heartbeat.epoch, 1U);
+  EXPECT_EQ(heartbeat.sequence, 88U);
+  EXPECT_EQ(heartbeat.token, 41U);
+  EXPECT_EQ(heartbeat.preemption_notice, Seconds(12.5));
   const TaskState states[] = {TaskState::Fetching, TaskState::Waiting, TaskState::Running,
                               TaskState::Saving};
   const ExitCause causes[] = {ExitCause::Done,  ExitCause::Stopped, ExitCause::Peers,
                               ExitCause::Alone, ExitCause::Error,   ExitCause::NoRoom,
                               ExitCause::Busy,  ExitCause::Unknown};
-  ASSERT_EQ(report.tasks.size(), 12U);
+  ASSERT_EQ(heartbeat.tasks.size(), 12U);
   for (std::uint32_t i = 0; i < 4; ++i) {
-    EXPECT_EQ(report.tasks[i].task, (TaskId{"req-000412", i + 3}));
-    EXPECT_EQ(report.tasks[i].attempt, 2U);
-    EXPECT_EQ(report.tasks[i].state, states[i]);
+    EXPECT_EQ(heartbeat.tasks[i].task, (TaskId{"req-000412", i + 3}));
+    EXPECT_EQ(heartbeat.tasks[i].attempt, 2U);
+    EXPECT_EQ(heartbeat.tasks[i].state, states[i]);
   }
   for (std::uint32_t i = 0; i < 8; ++i) {
-    EXPECT_EQ(report.tasks[i + 4].task, (TaskId{"req-1", i}));
-    EXPECT_EQ(report.tasks[i + 4].state, TaskState::Exited);
-    EXPECT_EQ(report.tasks[i + 4].cause, causes[i]);
-    EXPECT_EQ(report.tasks[i + 4].saved, i == 1);
+    EXPECT_EQ(heartbeat.tasks[i + 4].task, (TaskId{"req-1", i}));
+    EXPECT_EQ(heartbeat.tasks[i + 4].state, TaskState::Exited);
+    EXPECT_EQ(heartbeat.tasks[i + 4].cause, causes[i]);
+    EXPECT_EQ(heartbeat.tasks[i + 4].saved, i == 1);
   }
 }
 
-TEST(WorkerMessages, CommandsKeepTheirForm) {
+TEST(WorkerMessages, CommandsMatchTheirLiterals) {
   Command start{Command::Op::Start, {"req-000412", 4}, 2};
   start.interval = Seconds(30);
   const std::vector<Command> commands{start,
                                       {Command::Op::Start, {"req-2", 0}, 3},
                                       {Command::Op::Stop, {"req-000377", 1}, 1, Seconds(10)},
                                       {Command::Op::Acknowledge, {"req-000398", 0}, 1}};
-  const std::string orders =
+  const std::string command_list =
       R"("orders":[{"verb":"run","bookmarkS":30.0,"piece":"req-000412/4","try":2},)"
       R"({"verb":"run","piece":"req-2/0","try":3},)"
       R"({"verb":"kill","leewayS":10.0,"piece":"req-000377/1","try":1},)"
       R"({"verb":"clear","piece":"req-000398/0","try":1}]})";
   EXPECT_EQ(wire::encode_commands(41, {}), R"({"baton":41,"orders":[]})");
-  EXPECT_EQ(wire::encode_commands(41, commands), R"({"baton":41,)" + orders);
-  EXPECT_EQ(wire::encode_direct_commands(41, 7, commands), R"({"baton":41,"tenure":7,)" + orders);
+  EXPECT_EQ(wire::encode_commands(41, commands), R"({"baton":41,)" + command_list);
+  EXPECT_EQ(wire::encode_direct_commands(41, 7, commands),
+            R"({"baton":41,"tenure":7,)" + command_list);
   EXPECT_EQ(wire::encode_not_leader("ghat-2"), R"({"foreman":"ghat-2"})");
   EXPECT_EQ(wire::encode_not_leader(""), "{}");
   EXPECT_EQ(wire::kDirectCommandPath, "/orders");
@@ -128,7 +130,7 @@
 
 // ---- Cloud ----
 
-TEST(CloudMessages, RequestsKeepTheirForm) {
+TEST(CloudMessages, RequestsMatchTheirLiterals) {
   expect_request(wire::machine_types_request(), "GET", "/machine_types", "");
   expect_request(wire::rent_request({"r-17", "g8", "a", true, 12, 0}), "POST", "/machines",
                  R"({"ask":"r-17","flavor":"g8","howMany":12,"loaner":true,"yard":"a"})");
@@ -144,7 +146,7 @@
                  "/machines?limit=500&since=n-000230", "");
 }
 
-TEST(CloudMessages, AnswersAreRead) {
+TEST(CloudMessages, ResponsesAreDecoded) {
   EXPECT_EQ(wire::decode_rented_machines(R"({"hosts":["n-1","n-2"]})"),
             (std::vector<std::string>{"n-1", "n-2"}));
   const auto page = wire::decode_machines(
@@ -168,7 +170,7 @@
 
 // ---- State service ----
 
-TEST(StateServiceMessages, RequestsKeepTheirForm) {
+TEST(StateServiceMessages, RequestsMatchTheirLiterals) {
   expect_request(wire::get_request("a/b"), "GET", "/keys/a/b", "");
   expect_request(wire::list_keys_request("c/", "", 200), "GET", "/keys?prefix=c/&limit=200", "");
   expect_request(wire::list_keys_request("c/", "c/7", 200), "GET",
@@ -187,7 +189,7 @@
                  "/watch?prefix=c/&since=431&blockMs=10000", "");
 }
 
-TEST(StateServiceMessages, AnswersAreRead) {
+TEST(StateServiceMessages, ResponsesAreDecoded) {
   const auto item = wire::decode_item(R"({"key":"a/b","value":{"x":1},"stamp":412,"hold":7})");
   EXPECT_EQ(item.key, "a/b");
   EXPECT_EQ(*item.value, (wire::Json{{"x", 1}}));
@@ -215,26 +217,26 @@
 
 // ---- Peers ----
 
-TEST(PeerMessages, KeepTheirForm) {
+TEST(PeerMessages, MatchTheirLiteral) {
   const std::string literal =
       "9b05a6676861742d31a6676861742d3029c3ccfa289193aa7265712d303030343132030d91aa7265712d30303033"
       "3737cd03e8ce00011170";
-  const auto hint = wire::decode_gossip(unhex(literal));
-  ASSERT_TRUE(hint);
-  EXPECT_EQ(hint->node, "ghat-1");
-  EXPECT_EQ(hint->leader, "ghat-0");
-  EXPECT_EQ(hint->token, 41U);
-  EXPECT_TRUE(hint->store_reachable);
-  EXPECT_EQ(hint->store_age_ms, 250U);
-  EXPECT_EQ(hint->stepped_down_token, 40U);
-  ASSERT_EQ(hint->counts.size(), 1U);
-  EXPECT_EQ(hint->counts[0].job, "req-000412");
-  EXPECT_EQ(hint->counts[0].done, 3U);
-  EXPECT_EQ(hint->counts[0].running, 13U);
-  EXPECT_EQ(hint->cancelled, std::vector<std::string>{"req-000377"});
-  EXPECT_EQ(hint->heartbeat_age_ms, 1000U);
-  EXPECT_EQ(hint->leader_age_ms, 70000U);
-  EXPECT_EQ(hex(wire::encode_gossip(*hint)), literal);
+  const auto gossip = wire::decode_gossip(unhex(literal));
+  ASSERT_TRUE(gossip);
+  EXPECT_EQ(gossip->node, "ghat-1");
+  EXPECT_EQ(gossip->leader, "ghat-0");
+  EXPECT_EQ(gossip->token, 41U);
+  EXPECT_TRUE(gossip->store_reachable);
+  EXPECT_EQ(gossip->store_age_ms, 250U);
+  EXPECT_EQ(gossip->stepped_down_token, 40U);
+  ASSERT_EQ(gossip->counts.size(), 1U);
+  EXPECT_EQ(gossip->counts[0].job, "req-000412");
+  EXPECT_EQ(gossip->counts[0].done, 3U);
+  EXPECT_EQ(gossip->counts[0].running, 13U);
+  EXPECT_EQ(gossip->cancelled, std::vector<std::string>{"req-000377"});
+  EXPECT_EQ(gossip->heartbeat_age_ms, 1000U);
+  EXPECT_EQ(gossip->leader_age_ms, 70000U);
+  EXPECT_EQ(hex(wire::encode_gossip(*gossip)), literal);
 }
 
 }  // namespace
--- a/tests/heartbeat_decoder_test.cpp
+++ b/tests/heartbeat_decoder_test.cpp
@@ -1,5 +1,7 @@
-// Reading workers' heartbeats: what is refused, and that the reader by events and a tree of the
-// same message never disagree.
+// Decoding of workers' heartbeats: which messages are rejected, and that the event-based decoder
+// agrees with a decoder that reads the same message from a JSON tree. Guards against a malformed
+// heartbeat that is accepted, in particular one whose missing task list would look like an idle
+// machine.
 
 #include <gtest/gtest.h>
 
@@ -20,8 +22,9 @@
     R"("stage":"running"},{"piece":"req-000398/0","try":1,"stage":"exited","cause":"halted",)"
     R"("stored":true}],"extra":{"a":[1,-2,{"piece":"x"}],"host":"other"}})";
 
-// The same message read from a tree, field by field; none if it must be refused.
-std::optional<Heartbeat> read_from_tree(const std::string& text) {
+// Reference decoder: reads the message from a JSON tree, field by field. Returns none if the
+// message must be rejected.
+std::optional<Heartbeat> decode_from_tree(const std::string& text) {
   const auto in = Json::parse(text, nullptr, false);
   if (!in.is_object()) return std::nullopt;
   for (const char* key : {"host", "endpoint", "flavor", "yard"}) {
@@ -70,7 +73,7 @@
   return out;
 }
 
-std::optional<Heartbeat> read(const std::string& text) {
+std::optional<Heartbeat> decode(const std::string& text) {
   try {
     return wire::decode_heartbeat(text);
   } catch (const wire::DecodeError&) {
@@ -78,7 +81,7 @@
   }
 }
 
-bool same(const Heartbeat& a, const Heartbeat& b) {
+bool is_equal(const Heartbeat& a, const Heartbeat& b) {
   const auto fields = [](const Heartbeat& r) {
     return std::tie(r.machine, r.address, r.type, r.zone, r.spot, r.epoch, r.sequence, r.token,
                     r.preemption_notice);
@@ -90,80 +93,81 @@
                     });
 }
 
-TEST(HeartbeatDecoder, ReadsEveryFieldAndIgnoresUnknownOnes) {
-  const auto r = wire::decode_heartbeat(kHeartbeat);
-  EXPECT_EQ(r.machine, "n-1");
-  EXPECT_EQ(r.address, "10.1.0.1:9000");
-  EXPECT_EQ(r.type, "g8");
-  EXPECT_EQ(r.zone, "a");
-  EXPECT_TRUE(r.spot);
-  EXPECT_EQ(r.epoch, 1U);
-  EXPECT_EQ(r.sequence, 88U);
-  EXPECT_EQ(r.token, 41U);
-  EXPECT_EQ(r.preemption_notice, Seconds(7.5));
-  ASSERT_EQ(r.tasks.size(), 2U);
-  EXPECT_EQ(r.tasks[0].state, TaskState::Running);
-  EXPECT_EQ(r.tasks[0].attempt, 2U);
-  EXPECT_EQ(r.tasks[1].cause, ExitCause::Stopped);
-  EXPECT_TRUE(r.tasks[1].saved);
+TEST(HeartbeatDecoder, DecodesEveryFieldAndIgnoresUnknownFields) {
+  const auto heartbeat = wire::decode_heartbeat(kHeartbeat);
+  EXPECT_EQ(heartbeat.machine, "n-1");
+  EXPECT_EQ(heartbeat.address, "10.1.0.1:9000");
+  EXPECT_EQ(heartbeat.type, "g8");
+  EXPECT_EQ(heartbeat.zone, "a");
+  EXPECT_TRUE(heartbeat.spot);
+  EXPECT_EQ(heartbeat.epoch, 1U);
+  EXPECT_EQ(heartbeat.sequence, 88U);
+  EXPECT_EQ(heartbeat.token, 41U);
+  EXPECT_EQ(heartbeat.preemption_notice, Seconds(7.5));
+  ASSERT_EQ(heartbeat.tasks.size(), 2U);
+  EXPECT_EQ(heartbeat.tasks[0].state, TaskState::Running);
+  EXPECT_EQ(heartbeat.tasks[0].attempt, 2U);
+  EXPECT_EQ(heartbeat.tasks[1].cause, ExitCause::Stopped);
+  EXPECT_TRUE(heartbeat.tasks[1].saved);
 }
 
-TEST(HeartbeatDecoder, RefusesReportsThatLackAField) {
-  const auto good = Json::parse(kHeartbeat);
-  ASSERT_TRUE(read(good.dump()));
-  // Without its tasks a heartbeat would say that the machine is empty.
+TEST(HeartbeatDecoder, RejectsHeartbeatsThatLackAField) {
+  const auto valid = Json::parse(kHeartbeat);
+  ASSERT_TRUE(decode(valid.dump()));
+  // The leader would take a heartbeat without a task list for one of an idle machine.
   for (const char* key :
        {"host", "endpoint", "flavor", "yard", "loaner", "tenure", "tick", "baton", "pieces"}) {
-    auto bad = good;
-    bad.erase(key);
-    EXPECT_FALSE(read(bad.dump())) << key;
-    bad[key] = nullptr;
-    EXPECT_FALSE(read(bad.dump())) << key << " null";
-    bad[key] = Json::object();
-    EXPECT_FALSE(read(bad.dump())) << key << " of the wrong type";
+    auto invalid = valid;
+    invalid.erase(key);
+    EXPECT_FALSE(decode(invalid.dump())) << key;
+    invalid[key] = nullptr;
+    EXPECT_FALSE(decode(invalid.dump())) << key << " null";
+    invalid[key] = Json::object();
+    EXPECT_FALSE(decode(invalid.dump())) << key << " of the wrong type";
   }
   for (const char* key : {"piece", "try", "stage"}) {
-    auto bad = good;
-    bad["pieces"][1].erase(key);
-    EXPECT_FALSE(read(bad.dump())) << key;
-    bad["pieces"][1][key] = -1;
-    EXPECT_FALSE(read(bad.dump())) << key << " negative";
+    auto invalid = valid;
+    invalid["pieces"][1].erase(key);
+    EXPECT_FALSE(decode(invalid.dump())) << key;
+    invalid["pieces"][1][key] = -1;
+    EXPECT_FALSE(decode(invalid.dump())) << key << " negative";
   }
-  auto without_notice = good;
+  auto without_notice = valid;
   without_notice.erase("warningS");
-  EXPECT_TRUE(read(without_notice.dump()));
+  EXPECT_TRUE(decode(without_notice.dump()));
 }
 
-TEST(HeartbeatDecoder, RefusesWhatIsNotOneJsonObject) {
-  const std::string good = kHeartbeat;
-  EXPECT_FALSE(read(""));
-  EXPECT_FALSE(read("[" + good + "]"));
-  EXPECT_FALSE(read(good + good));
-  EXPECT_FALSE(read(good + std::string(1, '\0') + "x"));
-  EXPECT_FALSE(read(good.substr(0, good.size() - 1)));
-  EXPECT_FALSE(read("\"text\""));
-  EXPECT_FALSE(read("null"));
+TEST(HeartbeatDecoder, RejectsBodiesOtherThanOneJsonObject) {
+  const std::string valid = kHeartbeat;
+  EXPECT_FALSE(decode(""));
+  EXPECT_FALSE(decode("[" + valid + "]"));
+  EXPECT_FALSE(decode(valid + valid));
+  EXPECT_FALSE(decode(valid + std::string(1, '\0') + "x"));
+  EXPECT_FALSE(decode(valid.substr(0, valid.size() - 1)));
+  EXPECT_FALSE(decode("\"text\""));
+  EXPECT_FALSE(decode("null"));
 }
 
-// Within the largest body that the server takes. The depth costs no stack.
-TEST(HeartbeatDecoder, RefusesDeepNestingAndHugeNumbers) {
-  const std::size_t largest = std::size_t{64} * 1024;
+// The bodies stay within the 64 KB that the server accepts. A recursive parser would overflow the
+// stack on them.
+TEST(HeartbeatDecoder, RejectsDeepNestingAndHugeNumbers) {
+  const std::size_t max_body_bytes = std::size_t{64} * 1024;
   std::string deep = R"({"extra":)";
-  deep.append(largest - deep.size(), '[');
-  EXPECT_FALSE(read(deep));
+  deep.append(max_body_bytes - deep.size(), '[');
+  EXPECT_FALSE(decode(deep));
   std::string objects;
-  while (objects.size() < largest) objects += R"({"a":)";
-  EXPECT_FALSE(read(objects));
+  while (objects.size() < max_body_bytes) objects += R"({"a":)";
+  EXPECT_FALSE(decode(objects));
   auto closed = R"({"extra":)" + std::string(20000, '[') + std::string(20000, ']') + "," +
                 std::string(kHeartbeat).substr(1);
-  EXPECT_TRUE(read(closed)) << "an unknown field, however deep";
-  auto good = Json::parse(kHeartbeat).dump();
-  const auto at = good.find("88");
-  EXPECT_FALSE(read(good.replace(at, 2, std::string(400, '9'))));
-  EXPECT_FALSE(read(good.replace(at, 400, "1e999")));
+  EXPECT_TRUE(decode(closed)) << "an unknown field is ignored at any nesting depth";
+  auto valid = Json::parse(kHeartbeat).dump();
+  const auto at = valid.find("88");
+  EXPECT_FALSE(decode(valid.replace(at, 2, std::string(400, '9'))));
+  EXPECT_FALSE(decode(valid.replace(at, 400, "1e999")));
 }
 
-std::string mutated(std::string text, std::mt19937_64& rng) {
+std::string mutate(std::string text, std::mt19937_64& rng) {
   const auto below = [&rng](std::size_t n) {
     return std::uniform_int_distribution<std::size_t>(0, n - 1)(rng);
   };
@@ -192,8 +196,9 @@
   return text;
 }
 
-// Where a field stands twice a tree keeps the last, whatever its type: such messages are left out.
-bool names_a_field_twice(const std::string& text) {
+// Returns whether a field occurs twice. The test skips such messages: the JSON tree keeps the last
+// occurrence whatever its type, so the two decoders may differ.
+bool has_duplicate_field(const std::string& text) {
   for (const char* key : {"\"host\"", "\"endpoint\"", "\"flavor\"", "\"yard\"", "\"loaner\"",
                           "\"tenure\"", "\"tick\"", "\"baton\"", "\"warningS\"", "\"pieces\""}) {
     const auto first = text.find(key);
@@ -206,24 +211,24 @@
   return false;
 }
 
-TEST(HeartbeatDecoder, AgreesWithATreeOnMutatedMessages) {
+TEST(HeartbeatDecoder, AgreesWithATreeDecoderOnMutatedMessages) {
   std::mt19937_64 rng(20261202);
-  std::size_t refused = 0, read_alike = 0;
+  std::size_t rejected = 0, decoded_alike = 0;
   for (int i = 0; i < 40000; ++i) {
-    const auto text = mutated(kHeartbeat, rng);
-    if (names_a_field_twice(text)) continue;
-    const auto expected = read_from_tree(text);
-    const auto actual = read(text);
+    const auto text = mutate(kHeartbeat, rng);
+    if (has_duplicate_field(text)) continue;
+    const auto expected = decode_from_tree(text);
+    const auto actual = decode(text);
     ASSERT_EQ(expected.has_value(), actual.has_value()) << "message " << i << ": " << text;
     if (!expected) {
-      ++refused;
+      ++rejected;
       continue;
     }
-    ASSERT_TRUE(same(*expected, *actual)) << "message " << i << ": " << text;
-    ++read_alike;
+    ASSERT_TRUE(is_equal(*expected, *actual)) << "message " << i << ": " << text;
+    ++decoded_alike;
   }
-  EXPECT_GT(refused, 10000U);
-  EXPECT_GT(read_alike, 1000U);
+  EXPECT_GT(rejected, 10000U);
+  EXPECT_GT(decoded_alike, 1000U);
 }
 
 }  // namespace
--- a/tests/job_submission_test.cpp
+++ b/tests/job_submission_test.cpp
@@ -1,4 +1,5 @@
-// Submissions: decoding, storing, and whether the cloud's machine types can hold them.
+// Submitted jobs: decoding, storing, and whether any machine type of the cloud can run them. Guards
+// against accepting a malformed job or a job that can never run.
 
 #include <gtest/gtest.h>
 
@@ -15,7 +16,7 @@
   "flavors":["g8"],"yard":null,"together":true,"scatter":false,"loaner":true,"expectS":240.0,
   "bookmarkS":30.0,"stashS":4.0,"dueS":900.0,"later":"field"})";
 
-TEST(JobSubmission, RoundTripsThroughItsRecord) {
+TEST(JobSubmission, RoundTripsThroughItsLiveRecord) {
   const auto job = wire::decode_job(wire::parse(kJob));
   EXPECT_EQ(job.kind, JobKind::Gang);
   EXPECT_EQ(job.priority, Priority::High);
@@ -23,55 +24,55 @@
   EXPECT_EQ(job.types, std::vector<std::string>{"g8"});
   EXPECT_FALSE(job.zone);
   EXPECT_EQ(job.deadline, Seconds(900));
-  const WallTime at(milliseconds(1700000000123));
-  const auto back = store::decode_live(wire::parse(store::encode_live(job, at).dump()));
-  EXPECT_EQ(wire::encode_job(back.job), wire::encode_job(job));
-  EXPECT_EQ(back.accepted, at);
+  const WallTime accepted_at(milliseconds(1700000000123));
+  const auto decoded = store::decode_live(wire::parse(store::encode_live(job, accepted_at).dump()));
+  EXPECT_EQ(wire::encode_job(decoded.job), wire::encode_job(job));
+  EXPECT_EQ(decoded.accepted, accepted_at);
 }
 
-TEST(JobSubmission, NamesTheRefusedField) {
-  const auto good = wire::parse(kJob);
-  const auto bad = [&](const char* key, const wire::Json& value) {
-    auto j = good;
-    j[key] = value;
+TEST(JobSubmission, NamesTheInvalidField) {
+  const auto valid = wire::parse(kJob);
+  const auto error_names_field = [&](const char* key, const wire::Json& value) {
+    auto changed = valid;
+    changed[key] = value;
     try {
-      wire::decode_job(j);
-    } catch (const wire::DecodeError& e) {
-      return std::string(e.what()).find(key) != std::string::npos;
+      wire::decode_job(changed);
+    } catch (const wire::DecodeError& error) {
+      return std::string(error.what()).find(key) != std::string::npos;
     }
     return false;
   };
-  EXPECT_TRUE(bad("ref", "job-1"));
-  EXPECT_TRUE(bad("ref", "req-1/../2"));
-  EXPECT_TRUE(bad("shape", "ring"));
-  EXPECT_TRUE(bad("rank", 3));
-  EXPECT_TRUE(bad("pieces", 0));
-  EXPECT_TRUE(bad("pieces", 100001));
-  EXPECT_TRUE(bad("pieces", 1.5));
-  EXPECT_TRUE(bad("cores", -1));
-  EXPECT_TRUE(bad("cores", nullptr));
-  EXPECT_TRUE(bad("flavors", "g8"));
-  EXPECT_TRUE(bad("together", "yes"));
-  // Only what may be null may be left out.
+  EXPECT_TRUE(error_names_field("ref", "job-1"));
+  EXPECT_TRUE(error_names_field("ref", "req-1/../2"));
+  EXPECT_TRUE(error_names_field("shape", "ring"));
+  EXPECT_TRUE(error_names_field("rank", 3));
+  EXPECT_TRUE(error_names_field("pieces", 0));
+  EXPECT_TRUE(error_names_field("pieces", 100001));
+  EXPECT_TRUE(error_names_field("pieces", 1.5));
+  EXPECT_TRUE(error_names_field("cores", -1));
+  EXPECT_TRUE(error_names_field("cores", nullptr));
+  EXPECT_TRUE(error_names_field("flavors", "g8"));
+  EXPECT_TRUE(error_names_field("together", "yes"));
+  // Only the fields that may be null may be absent.
   for (const char* key :
        {"ref", "lane", "owner", "shape", "rank", "pieces", "cores", "accelerators", "ramGb",
         "bundle", "imageGb", "together", "scatter", "loaner", "expectS", "bookmarkS", "stashS"}) {
-    auto j = good;
-    j.erase(key);
-    EXPECT_THROW(wire::decode_job(j), wire::DecodeError) << key;
+    auto changed = valid;
+    changed.erase(key);
+    EXPECT_THROW(wire::decode_job(changed), wire::DecodeError) << key;
   }
   for (const char* key : {"flavors", "yard", "dueS"}) {
-    auto j = good;
-    j.erase(key);
-    EXPECT_NO_THROW(wire::decode_job(j)) << key;
+    auto changed = valid;
+    changed.erase(key);
+    EXPECT_NO_THROW(wire::decode_job(changed)) << key;
   }
-  EXPECT_FALSE(bad("dueS", nullptr));
+  EXPECT_FALSE(error_names_field("dueS", nullptr));
   EXPECT_THROW(wire::parse("[1]"), wire::DecodeError);
   EXPECT_THROW(wire::parse("{\"a\":"), wire::DecodeError);
 }
 
-// A gang that is to be spread over zones and may be in one only can never run.
-TEST(Catalog, RefusesGangsThatCanNeverBeTogether) {
+// A gang that must be spread over zones but may use only one zone can never run.
+TEST(Catalog, RejectsSpreadGangsLimitedToOneZone) {
   cloud::Catalog catalog;
   MachineType type;
   type.name = "g8";
@@ -83,13 +84,14 @@
   auto job = wire::decode_job(wire::parse(kJob));
   EXPECT_TRUE(catalog.can_hold(job));
   job.spread = true;
-  EXPECT_FALSE(catalog.can_hold(job)) << "in one zone, and at most half of it there";
+  EXPECT_FALSE(catalog.can_hold(job))
+      << "all tasks in one zone, but at most half of them in any zone";
   job.one_zone = false;
   EXPECT_TRUE(catalog.can_hold(job));
   job.zone = "a";
   EXPECT_FALSE(catalog.can_hold(job));
   job.kind = JobKind::Array;
-  EXPECT_TRUE(catalog.can_hold(job)) << "one half after the other";
+  EXPECT_TRUE(catalog.can_hold(job)) << "an array can run half of its tasks after the other half";
   job.zone = "atlantis";
   EXPECT_FALSE(catalog.can_hold(job));
 }
