--- a/src/node/peer_gossip.cpp
+++ b/src/node/peer_gossip.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Maximum size of the counts in a message.
-constexpr std::size_t kMaxCountsBytes = wire::kLargestPeerMessage / 2;
+constexpr std::size_t kMaxCountsBytes = wire::kMaxPeerMessageBytes / 2;
 
 // A template, since the leader's own counts and those of a gossip message are different types with
 // the same fields.
--- a/src/node/recent_cancellations.cpp
+++ b/src/node/recent_cancellations.cpp
@@ -10,7 +10,7 @@
 constexpr auto kRepeatDuration = 10s;
 // Maximum size of the cancellations in a message. The oldest cancellations beyond it are not
 // repeated; the peers have been sent them once, when they were confirmed.
-constexpr std::size_t kMaxCancellationBytes = wire::kLargestPeerMessage / 4;
+constexpr std::size_t kMaxCancellationBytes = wire::kMaxPeerMessageBytes / 4;
 
 std::size_t size_in_message(const std::string& job) {
   return job.size() + wire::kPeerEntryOverhead;
