--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -20,7 +20,7 @@
   net::HttpServer::Limits limits;
   // The rest is for the node's own connections: state service, cloud, peers.
   limits.connections = settings.max_connections * 13 / 16;
-  limits.kept = limits.connections * 7 / 8;
+  limits.keep_alive_connections = limits.connections * 7 / 8;
   limits.buffered = std::max(kLeastBuffered, settings.memory_bytes / kBufferedPartOfMemory);
   return limits;
 }
--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Buffers of connections. A node holds thousands of connections, so what each of them keeps while
-/// it waits decides how much memory the node needs. Used by the HTTP client and server.
+/// Connection buffers of the HTTP client and server. A node holds thousands of connections, so the
+/// memory that each idle connection retains dominates the node's memory use.
 
 #include <array>
 #include <cstddef>
@@ -9,19 +9,19 @@
 
 namespace asterstair::net {
 
-/// Most bytes that one read may return.
+/// Maximum number of bytes that one read may return.
 inline constexpr std::size_t kReadBufferSize = std::size_t{64} * 1024;
 
-/// Buffer for one read. libuv hands the bytes on before it reads again, so all connections of an
-/// owner share one buffer.
+/// Buffer for one read. libuv delivers the bytes before it reads again, so all connections of one
+/// client or server share one buffer.
 using ReadBuffer = std::array<char, kReadBufferSize>;
 
-/// Most bytes that a connection's buffer keeps allocated between two messages.
-inline constexpr std::size_t kKeptCapacity = 1024;
+/// Maximum capacity, in bytes, that a connection's buffer retains between two messages.
+inline constexpr std::size_t kMaxRetainedCapacity = 1024;
 
-/// Frees the buffer's memory if it is larger than kKeptCapacity; its content is lost then.
+/// Frees the buffer and discards its content if its capacity exceeds kMaxRetainedCapacity.
 inline void release_if_large(std::string& buffer) {
-  if (buffer.capacity() > kKeptCapacity) std::string().swap(buffer);
+  if (buffer.capacity() > kMaxRetainedCapacity) std::string().swap(buffer);
 }
 
 }  // namespace asterstair::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -9,16 +9,16 @@
 namespace asterstair::net {
 namespace {
 
-// Idle connections that the pool keeps for one address.
-constexpr std::size_t kMostIdlePerAddress = 8;
+// Maximum number of idle connections that the pool keeps for one address.
+constexpr std::size_t kMaxIdlePerAddress = 8;
 
-// The pool may always open this many connections, however small the settings' limit is.
-constexpr std::size_t kLeastConnections = 8;
+// Minimum connection limit of the pool; a lower limit in the settings is raised to it.
+constexpr std::size_t kMinConnections = 8;
 
 }  // namespace
 
 HttpClient::HttpClient(uv_loop_t* loop, std::size_t max_connections)
-    : loop_(loop), max_connections_(std::max(max_connections, kLeastConnections)) {}
+    : loop_(loop), max_connections_(std::max(max_connections, kMinConnections)) {}
 
 HttpClient::~HttpClient() = default;
 
@@ -41,7 +41,7 @@
 
 // ---- The connection pool ----
 
-// Returns null if the address is not one, or if no more connections may be opened.
+// Returns null if the address is malformed or the connection limit is reached.
 HttpClient::Connection* HttpClient::take_idle_or_open(const std::string& address) {
   auto& idle = idle_[address];
   if (idle.empty()) return open_connection(address);
@@ -57,20 +57,21 @@
   return new Connection(this, loop_, address);
 }
 
-// Connections kept open to hundreds of workers must not use up what the state service and the cloud
-// need.
+// Makes room for a new connection: idle connections to hundreds of workers must not exhaust the
+// limit and block requests to the state service and the cloud.
 void HttpClient::close_longest_idle() {
   Connection* longest = nullptr;
   for (const auto& [address, idle] : idle_) {
     for (Connection* connection : idle) {
-      if (longest == nullptr || connection->idle_since < longest->idle_since) longest = connection;
+      if (longest == nullptr || connection->idle_sequence < longest->idle_sequence)
+        longest = connection;
     }
   }
   if (longest != nullptr) close_connection(longest);
 }
 
-void HttpClient::put_back(Connection* connection) {
-  connection->idle_since = ++turns_;
+void HttpClient::return_to_pool(Connection* connection) {
+  connection->idle_sequence = ++last_idle_sequence_;
   release_if_large(connection->request.body);
   release_if_large(connection->outgoing);
   idle_[connection->address].push_back(connection);
@@ -86,7 +87,8 @@
 
 // ---- One request ----
 
-// Calls back from the loop, never from inside the call: callers need not be re-entrant.
+// Reports the failure from the event loop instead of inside send(), so callers need not be
+// re-entrant.
 void HttpClient::fail_later(HttpCallback done) {
   auto* timer = new uv_timer_t;
   timer->data = new HttpCallback(std::move(done));
@@ -160,15 +162,15 @@
 void HttpClient::on_received(Connection* connection, const char* data, std::int64_t size) {
   if (size > 0 && connection->busy) {
     if (parse(connection, data, static_cast<std::size_t>(size))) return;
-  } else if (size == UV_EOF && connection->busy && connection->got_bytes) {
+  } else if (size == UV_EOF && connection->busy && connection->response_started) {
     if (parse_end(connection)) return;
   }
   fail(connection);
 }
 
-// Returns whether the bytes are those of a response.
+// Returns whether the bytes are part of a valid response.
 bool HttpClient::parse(Connection* connection, const char* data, std::size_t size) {
-  connection->got_bytes = true;
+  connection->response_started = true;
   const std::size_t used = connection->execute_parser(data, size);
   const auto error = HTTP_PARSER_ERRNO(&connection->parser);
   if (error == HPE_OK) return true;
@@ -179,7 +181,8 @@
   return true;
 }
 
-// A body without a length ends with the connection. Returns whether the response ended so.
+// Handles the end of the stream: a body without Content-Length ends when the server closes the
+// connection. Returns whether the response is complete.
 bool HttpClient::parse_end(Connection* connection) {
   connection->execute_parser(nullptr, 0);
   if (HTTP_PARSER_ERRNO(&connection->parser) != HPE_PAUSED) return false;
@@ -194,11 +197,11 @@
   uv_timer_stop(&connection->timer);
   const bool was_busy = std::exchange(connection->busy, false);
   const HttpCallback done = std::exchange(connection->done, nullptr);
-  // A response may come before the request's write is called back: when it was given without
-  // reading the request, or when more events wait than one pass of the loop takes. The write handle
-  // must not be used for the next request until then.
-  if (reusable && !connection->writing && idle_[connection->address].size() < kMostIdlePerAddress) {
-    put_back(connection);
+  // A response may arrive before the request's write callback runs: the server may respond without
+  // reading the whole request, or more events may be pending than one loop iteration handles. The
+  // write handle belongs to libuv until that callback, so such a connection is not reused.
+  if (reusable && !connection->writing && idle_[connection->address].size() < kMaxIdlePerAddress) {
+    return_to_pool(connection);
   } else {
     close_connection(connection);
   }
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// HTTP/1.1 client over libuv with a connection pool. The node's LoopRuntime owns one and sends all
-/// requests to workers, the state service and the cloud through it.
+/// HTTP/1.1 client on libuv with a connection pool. LoopRuntime owns one and sends all requests to
+/// workers, the state service and the cloud through it.
 
 #include <uv.h>
 
@@ -16,11 +16,11 @@
 
 namespace asterstair::net {
 
-/// Sends requests and keeps idle connections for the next one. All calls and callbacks run on the
-/// loop's thread. Every request ends within its timeout.
+/// Sends requests and pools idle connections for reuse. All calls and callbacks run on the loop's
+/// thread. Every request completes within its timeout.
 class HttpClient {
  public:
-  /// One connection of the pool; see http_client_connection.hpp. Of the implementation.
+  /// One connection of the pool. Internal; see http_client_connection.hpp.
   struct Connection;
 
   /// Opens at most `max_connections` connections on the loop, which must outlive the client.
@@ -28,8 +28,9 @@
   ~HttpClient();
 
   /// Sends the request to an IPv4 address with a port. Calls `done` exactly once, never from inside
-  /// this call. The status is 0 if there is no response: after the timeout, for a broken connection
-  /// or response, for a wrong address, and when no further connection may be opened.
+  /// this call. The status is http_status::kNoAnswer (0) if there is no response: after the
+  /// timeout, after a connection error, for a malformed response or address, or if the connection
+  /// limit is reached.
   void send(const std::string& address, HttpRequest request, Duration timeout, HttpCallback done);
 
  private:
@@ -37,7 +38,7 @@
   Connection* take_idle_or_open(const std::string& address);
   Connection* open_connection(const std::string& address);
   void close_longest_idle();
-  void put_back(Connection* connection);
+  void return_to_pool(Connection* connection);
   void close_connection(Connection* connection);
 
   // One request.
@@ -57,7 +58,8 @@
   ReadBuffer read_buffer_{};
   std::size_t max_connections_;
   std::size_t open_ = 0;
-  std::uint64_t turns_ = 0;  // counts returns to the pool, to find the longest idle connection
+  // Counts the connections returned to the pool, to find the one that has been idle longest.
+  std::uint64_t last_idle_sequence_ = 0;
   std::unordered_map<std::string, std::vector<Connection*>> idle_;  // by address
 };
 
--- a/src/net/http_client_connection.cpp
+++ b/src/net/http_client_connection.cpp
@@ -9,12 +9,14 @@
 namespace asterstair::net {
 namespace {
 
-// A larger response is treated as none. Lists end at 512 KiB. A watch has no limit of its own; one
-// that is cut off here is followed by reading the keys again.
-constexpr std::size_t kLargestResponse = std::size_t{4} * 1024 * 1024;
+// Maximum size of a response body in bytes; a larger response counts as a failed request. The state
+// service limits a list response to 512 KiB. A watch response has no such limit; when one exceeds
+// this size, the keys are read again.
+constexpr std::size_t kMaxResponseSize = std::size_t{4} * 1024 * 1024;
 
-// Bytes of a header's name and of its value that are kept: longer ones are of no interest here.
-constexpr std::size_t kLongestHeader = 256;
+// Header names and values are stored only up to about this many bytes; no header that the client
+// reads is longer.
+constexpr std::size_t kMaxHeaderLength = 256;
 
 constexpr std::string_view kRetryAfter = "retry-after";
 
@@ -37,7 +39,7 @@
 
 void HttpClient::Connection::begin_request(HttpRequest next_request, HttpCallback callback) {
   busy = true;
-  got_bytes = false;
+  response_started = false;
   request = std::move(next_request);
   done = std::move(callback);
   response = HttpResponse{};
@@ -96,14 +98,14 @@
   auto* connection = static_cast<Connection*>(parser->data);
   if (!connection->header_value.empty()) connection->end_header();
   auto& field = connection->header_field;
-  if (field.size() < kLongestHeader) field.append(data, size);
+  if (field.size() < kMaxHeaderLength) field.append(data, size);
   return 0;
 }
 
 int HttpClient::Connection::on_header_value(http_parser* parser, const char* data,
                                             std::size_t size) {
   auto& value = static_cast<Connection*>(parser->data)->header_value;
-  if (value.size() < kLongestHeader) value.append(data, size);
+  if (value.size() < kMaxHeaderLength) value.append(data, size);
   return 0;
 }
 
@@ -116,7 +118,7 @@
 
 int HttpClient::Connection::on_body(http_parser* parser, const char* data, std::size_t size) {
   auto& body = static_cast<Connection*>(parser->data)->response.body;
-  if (body.size() + size > kLargestResponse) return 1;
+  if (body.size() + size > kMaxResponseSize) return 1;
   body.append(data, size);
   return 0;
 }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -13,12 +13,12 @@
 // Connections that the kernel queues until the loop accepts them.
 constexpr int kListenBacklog = 256;
 
-// What a client is told to wait for when there is no room for its request.
+// Value of Retry-After when the buffer limit leaves no room for a request.
 constexpr std::chrono::seconds kRetryAfter{1};
 
-// Bytes that are kept while a request is being answered. PROTOCOL forbids pipelining; a little is
-// kept, a flood is not.
-constexpr std::size_t kMostPipelined = std::size_t{16} * 1024;
+// Maximum number of bytes buffered on one connection while a request is being handled. PROTOCOL
+// forbids pipelining; a small excess is tolerated, a larger one closes the connection.
+constexpr std::size_t kMaxPipelinedBytes = std::size_t{16} * 1024;
 
 }  // namespace
 
@@ -54,7 +54,7 @@
 void HttpServer::accept() {
   auto* connection = new Connection(this, loop_, next_id_++);
   connections_.insert(connection);
-  live_.insert(connection->id);
+  open_ids_.insert(connection->id);
   if (!admit(connection)) {
     close(connection);
     return;
@@ -76,13 +76,13 @@
   const int error = uv_accept(reinterpret_cast<uv_stream_t*>(&listener_),
                               reinterpret_cast<uv_stream_t*>(&connection->tcp));
   if (error != 0) return false;
-  if (connections_.size() > limits_.connections) make_room();
+  if (connections_.size() > limits_.connections) close_longest_idle();
   return connections_.size() <= limits_.connections;
 }
 
-// Hundreds of workers hold a connection each, and more may come than there are sockets: those that
-// wait for nothing must not keep users out.
-void HttpServer::make_room() {
+// Makes room for a new connection. Hundreds of workers hold one connection each and may need more
+// than the limit; their idle connections must not block users.
+void HttpServer::close_longest_idle() {
   if (!idle_.empty()) close(idle_.front());
 }
 
@@ -90,9 +90,9 @@
   if (connection->idle == idle) return;
   connection->idle = idle;
   if (idle) {
-    connection->idle_at = idle_.insert(idle_.end(), connection);
+    connection->idle_position = idle_.insert(idle_.end(), connection);
   } else {
-    idle_.erase(connection->idle_at);
+    idle_.erase(connection->idle_position);
   }
 }
 
@@ -111,11 +111,12 @@
   release_buffer(connection);
   set_idle(connection, false);
   connections_.erase(connection);
-  live_.erase(connection->id);
+  open_ids_.erase(connection->id);
   connection->close_handles();
 }
 
-// Returns whether the server has room for so many further bytes of an incomplete body.
+// Reserves `size` bytes of the buffer limit for an incomplete body. Returns whether they are
+// available.
 bool HttpServer::reserve_buffer(Connection* connection, std::size_t size) {
   if (buffered_ + size > limits_.buffered) return false;
   buffered_ += size;
@@ -139,7 +140,7 @@
   const auto received = static_cast<std::size_t>(size);
   if (!connection->busy) {
     parse(connection, data, received);
-  } else if (connection->pending.size() + received > kMostPipelined) {
+  } else if (connection->pending.size() + received > kMaxPipelinedBytes) {
     close(connection);
   } else {
     connection->pending.append(data, received);
@@ -157,7 +158,7 @@
   if (connection->complete) {
     connection->complete = false;
     http_parser_pause(&parser, 0);
-    connection->keep = http_should_keep_alive(&parser) != 0;
+    connection->keep_alive = http_should_keep_alive(&parser) != 0;
     if (used < size) connection->pending.assign(data + used, size - used);
     dispatch(connection);
     return;
@@ -165,13 +166,13 @@
   if (HTTP_PARSER_ERRNO(&parser) != HPE_OK || parser.upgrade != 0) refuse(connection);
 }
 
-// Answers a request that cannot be read to its end. Nothing more is expected on the connection.
+// Sends an error response to a request that cannot be read completely, then closes the connection.
 void HttpServer::refuse(Connection* connection) {
   release_buffer(connection);
   connection->request = HttpRequest{};
-  connection->keep = false;
+  connection->keep_alive = false;
   connection->busy = true;
-  if (connection->no_room) {
+  if (connection->buffer_full) {
     respond(connection,
             {503, wire::encode_error("too many requests are being received"), kRetryAfter});
   } else if (connection->too_large) {
@@ -181,22 +182,22 @@
   }
 }
 
-// The handler may respond when the connection has closed and its memory is used by another one, so
-// the callback finds it by its id.
+// The handler may respond after the connection has been closed and its address reused by another
+// one, so the callback checks the connection's id.
 void HttpServer::dispatch(Connection* connection) {
   connection->busy = true;
   release_buffer(connection);
   uv_timer_stop(&connection->timer);
   const auto id = connection->id;
   handler_(std::move(connection->request), [this, connection, id](const HttpResponse& response) {
-    if (live_.count(id) != 0) respond(connection, response);
+    if (open_ids_.count(id) != 0) respond(connection, response);
   });
 }
 
 void HttpServer::respond(Connection* connection, const HttpResponse& response) {
-  if (connections_.size() > limits_.kept) connection->keep = false;
+  if (connections_.size() > limits_.keep_alive_connections) connection->keep_alive = false;
   connection->encode_response(response);
-  close_after(connection, limits_.request_time);  // a client that does not read is closed too
+  close_after(connection, limits_.request_time);  // drops clients that do not read
   auto& outgoing = connection->outgoing;
   const uv_buf_t buffer = uv_buf_init(outgoing.data(), static_cast<unsigned>(outgoing.size()));
   const auto written = [](uv_write_t* request, int status) {
@@ -210,7 +211,7 @@
 
 void HttpServer::on_responded(Connection* connection, int status) {
   if (connection->closing) return;
-  if (status != 0 || !connection->keep) {
+  if (status != 0 || !connection->keep_alive) {
     close(connection);
     return;
   }
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// HTTP/1.1 server over libuv: bounded connections, bounded requests, and one request at a time on
-/// a connection. The program owns one, which passes the requests to the node.
+/// HTTP/1.1 server on libuv. It limits the connections and the size of requests, and handles one
+/// request at a time on each connection. The program owns one, which passes the requests to the
+/// node.
 
 #include <uv.h>
 
@@ -16,8 +17,8 @@
 
 namespace asterstair::net {
 
-/// Sends the response to one request. It may be called at any later time, once, on the loop's
-/// thread; after the connection has closed it does nothing.
+/// Sends the response to one request. It may be called once, at any later time, on the loop's
+/// thread. It does nothing if the connection has been closed.
 using Respond = std::function<void(HttpResponse)>;
 
 /// Handles one request; called on the loop's thread.
@@ -26,31 +27,34 @@
 /// Accepts connections and serves their requests. All calls and callbacks run on the loop's thread.
 class HttpServer {
  public:
-  /// What the server spends at most.
+  /// Resource limits of the server.
   struct Limits {
-    /// Open connections. At the limit the longest idle one is closed, so that newcomers are served.
+    /// Maximum number of open connections. At the limit, the connection that has been idle longest
+    /// is closed to accept a new one.
     std::size_t connections = 500;
-    /// Bytes of one request's body.
+    /// Maximum size of a request's body in bytes.
     std::size_t body = std::size_t{64} * 1024;
-    /// Time from a request's first byte to its last, and for the client to read the response.
+    /// Maximum time to receive a request from its first byte to its last, and maximum time for the
+    /// client to read the response.
     Duration request_time = 10s;
-    /// Time that a connection may be idle.
+    /// Idle connections are closed after this time.
     Duration idle_time = 120s;
-    /// Above so many connections, responses ask the client to close: most clients hold a connection
-    /// that they use for moments only.
-    std::size_t kept = 500;
-    /// Bytes of all incomplete requests together: half-sent ones must not use up the memory.
+    /// Above this number of open connections, responses carry `Connection: close`: most clients
+    /// hold a connection open but use it only briefly.
+    std::size_t keep_alive_connections = 500;
+    /// Maximum size of all incomplete request bodies together, in bytes, so that clients that never
+    /// complete their requests cannot exhaust the memory.
     std::size_t buffered = std::size_t{8} * 1024 * 1024;
   };
 
-  /// Makes a server on the loop, which must outlive it.
+  /// Creates a server on the loop, which must outlive it.
   HttpServer(uv_loop_t* loop, Limits limits, Handler handler);
 
   /// Starts to accept connections on an IPv4 address with a port. Throws std::runtime_error if the
-  /// address is wrong or in use.
+  /// address is malformed or in use.
   void listen(const std::string& address);
 
-  /// Returns the port it listens on.
+  /// Returns the port that the server listens on.
   int port() const;
 
   /// Returns the number of open connections.
@@ -62,7 +66,7 @@
   // Connections and their limits.
   void accept();
   bool admit(Connection* connection);
-  void make_room();
+  void close_longest_idle();
   void set_idle(Connection* connection, bool idle);
   void close_after(Connection* connection, Duration time);
   void close(Connection* connection);
@@ -83,8 +87,8 @@
   Handler handler_;
   uv_tcp_t listener_{};
   std::unordered_set<Connection*> connections_;
-  std::unordered_set<std::uint64_t> live_;  // ids of the connections
-  std::list<Connection*> idle_;             // between requests, the longest idle first
+  std::unordered_set<std::uint64_t> open_ids_;  // ids of the open connections
+  std::list<Connection*> idle_;                 // between two requests, longest idle first
   std::uint64_t next_id_ = 1;
   std::size_t buffered_ = 0;  // bytes of incomplete bodies
 };
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -5,8 +5,8 @@
 namespace asterstair::net {
 namespace {
 
-// Bytes of a request's target (path and query).
-constexpr std::size_t kLongestTarget = 2048;
+// Maximum length of a request's target (path and query) in bytes.
+constexpr std::size_t kMaxTargetLength = 2048;
 
 const char* reason_phrase(int status) {
   switch (status) {
@@ -57,7 +57,7 @@
   if (response.retry_after) {
     outgoing += "Retry-After: " + std::to_string(response.retry_after->count()) + "\r\n";
   }
-  if (!keep) outgoing += "Connection: close\r\n";
+  if (!keep_alive) outgoing += "Connection: close\r\n";
   outgoing += "\r\n";
   outgoing += response.body;
 }
@@ -94,13 +94,13 @@
 int HttpServer::Connection::on_message_begin(http_parser* parser) {
   auto* connection = static_cast<Connection*>(parser->data);
   connection->request = HttpRequest{};
-  connection->too_large = connection->no_room = false;
+  connection->too_large = connection->buffer_full = false;
   return 0;
 }
 
 int HttpServer::Connection::on_url(http_parser* parser, const char* data, std::size_t size) {
   auto& target = static_cast<Connection*>(parser->data)->request.target;
-  if (target.size() + size > kLongestTarget) return 1;
+  if (target.size() + size > kMaxTargetLength) return 1;
   target.append(data, size);
   return 0;
 }
@@ -111,7 +111,7 @@
   if (!has_length) return 0;
   if (parser->content_length <= connection->owner->limits_.body) return 0;
   connection->too_large = true;
-  return -1;  // 1 and 2 have meanings of their own to the parser
+  return -1;  // an error; http_parser takes 1 and 2 for other outcomes
 }
 
 int HttpServer::Connection::on_body(http_parser* parser, const char* data, std::size_t size) {
@@ -122,7 +122,7 @@
     return 1;
   }
   if (!connection->owner->reserve_buffer(connection, size)) {
-    connection->no_room = true;
+    connection->buffer_full = true;
     return 1;
   }
   body.append(data, size);
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-// The HTTP client may use this part (1/n) of the node's connections. The HTTP server has its own
-// part, see main.cpp.
-constexpr std::size_t kClientPartOfConnections = 8;
+// The HTTP client may open the node's maximum number of connections divided by this. The HTTP
+// server has its own share; see app/serve.cpp.
+constexpr std::size_t kClientConnectionsDivisor = 8;
 
 uv_loop_t* init_loop(uv_loop_t* loop) {
   const int error = uv_loop_init(loop);
@@ -35,10 +35,11 @@
 
 LoopRuntime::LoopRuntime(const Settings& settings)
     : rng_(random_seed()),
-      client_(init_loop(&loop_), settings.max_connections / kClientPartOfConnections),
+      client_(init_loop(&loop_), settings.max_connections / kClientConnectionsDivisor),
       peers_(&loop_, settings) {}
 
-LoopRuntime::~LoopRuntime() = default;  // the process ends by being killed; the loop never closes
+LoopRuntime::~LoopRuntime() =
+    default;  // the loop is never closed; the process runs until it is killed
 
 TimerId LoopRuntime::after(Duration delay, std::function<void()> action) {
   auto* timer = new Timer;
@@ -58,7 +59,7 @@
   return timer->id;
 }
 
-// The timer is gone before its action runs: the action may start or cancel timers.
+// Removes the timer before its action runs, because the action may start or cancel timers.
 void LoopRuntime::on_expired(Timer* timer) {
   timers_.erase(timer->id);
   const auto action = std::move(timer->action);
@@ -71,7 +72,7 @@
   if (it == timers_.end()) return;
   Timer* timer = it->second;
   timers_.erase(it);
-  timer->action = nullptr;  // frees what it holds now, not when the handle has closed
+  timer->action = nullptr;  // frees the captured state now instead of when the handle has closed
   close(timer);
 }
 
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -11,23 +11,23 @@
 namespace asterstair::net {
 namespace {
 
-// Bytes that may be queued for one peer: backpressure drops what is more.
-constexpr std::size_t kMostQueued = 2 * wire::kLargestPeerMessage;
+// Maximum number of bytes queued for one peer. Further messages are dropped (backpressure).
+constexpr std::size_t kMaxQueuedBytes = 2 * wire::kLargestPeerMessage;
 
-// Incoming connections that are kept.
-constexpr std::size_t kMostIncoming = 16;
+// Maximum number of incoming connections.
+constexpr std::size_t kMaxIncoming = 16;
 
 // Connections that the kernel queues until the loop accepts them.
 constexpr int kListenBacklog = 16;
 
-// Bytes of the length that precedes each message, in network byte order.
+// Size of the length prefix of each message, in bytes. The prefix is in network byte order.
 constexpr std::size_t kLengthBytes = sizeof(std::uint32_t);
 
-// Time between two attempts to connect to a peer, and the time one attempt gets.
-constexpr auto kReconnectAfter = 500ms;
+// Minimum interval between two attempts to connect to a peer, and the timeout of one attempt.
+constexpr auto kReconnectInterval = 500ms;
 
-// A connection with queued messages and no progress for this long is replaced.
-constexpr auto kStuckAfter = 3s;
+// A connection with queued messages is replaced if no write completes for this long.
+constexpr auto kStallTimeout = 3s;
 
 std::uint32_t decode_length(const std::string& frame) {
   std::uint32_t length = 0;
@@ -44,21 +44,21 @@
 
 }  // namespace
 
-// A peer that this node sends to, and its connection.
+// A peer that this node sends to, and the connection to it.
 struct PeerLink::Outgoing {
-  // Lives on after its peer has dropped it, until libuv has closed it.
+  // Outlives its Outgoing's reference to it until libuv has closed the handle.
   struct Socket {
     uv_tcp_t tcp{};
     uv_connect_t connect{};
     std::weak_ptr<Outgoing> owner;
     bool connected = false;
     bool closing = false;
-    char scratch[64];  // for reads that are ignored
+    char scratch[64];  // buffer for received bytes, which are ignored
 
     void read_until_closed();
   };
 
-  // One message that is being written; deleted by its callback.
+  // One message being written; its write callback deletes it.
   struct Write {
     uv_write_t request{};
     std::string data;
@@ -68,18 +68,18 @@
   std::string address;
   Socket* socket = nullptr;
   std::size_t queued = 0;  // bytes
-  TimePoint last_try{};
+  TimePoint last_attempt{};
   TimePoint last_progress{};
 
-  bool is_stuck(TimePoint now) const;
+  bool is_stalled(TimePoint now) const;
   void write(const std::string& message);
 };
 
-// A connection of a peer that sends to this node.
+// A connection from a peer that sends to this node.
 struct PeerLink::Incoming {
   PeerLink* owner = nullptr;
   uv_tcp_t tcp{};
-  std::string data;  // bytes of messages that have not come whole
+  std::string data;  // bytes of messages that are still incomplete
   bool closing = false;
   char buffer[16384];
 };
@@ -123,8 +123,8 @@
     close(connection);
     return;
   }
-  // Connections of peers that crashed without closing them make room for new ones.
-  if (incoming_.size() >= kMostIncoming) close(*incoming_.begin());
+  // Evicts a connection at the limit: peers that crashed may have left theirs open.
+  if (incoming_.size() >= kMaxIncoming) close(*incoming_.begin());
   incoming_.insert(connection);
   const auto allocate = [](uv_handle_t* handle, std::size_t, uv_buf_t* buffer) {
     auto* reader = static_cast<Incoming*>(handle->data);
@@ -168,7 +168,7 @@
 // ---- Outgoing connections ----
 
 void PeerLink::connect(Outgoing& peer) {
-  peer.last_try = Clock::now();
+  peer.last_attempt = Clock::now();
   const auto target = parse_address(peer.address);
   if (!target) return;
   auto* socket = new Outgoing::Socket;
@@ -180,7 +180,7 @@
   }
   peer.socket = socket;
   peer.queued = 0;
-  peer.last_progress = peer.last_try;
+  peer.last_progress = peer.last_attempt;
   const auto connected = [](uv_connect_t* request, int status) {
     auto* opened = static_cast<Outgoing::Socket*>(request->data);
     if (opened->closing || status != 0) return;
@@ -192,7 +192,7 @@
                  connected);
 }
 
-// Nothing is expected back; reading detects that the peer has closed the connection.
+// The peer sends nothing on this connection; reading detects that the peer has closed it.
 void PeerLink::Outgoing::Socket::read_until_closed() {
   const auto allocate = [](uv_handle_t* handle, std::size_t, uv_buf_t* buffer) {
     auto* reader = static_cast<Socket*>(handle->data);
@@ -211,10 +211,10 @@
            [](uv_handle_t* handle) { delete static_cast<Outgoing::Socket*>(handle->data); });
 }
 
-// Returns whether the socket cannot be connected, or its messages make no progress.
-bool PeerLink::Outgoing::is_stuck(TimePoint now) const {
-  if (!socket->connected) return now - last_progress > kReconnectAfter;
-  return queued > 0 && now - last_progress > kStuckAfter;
+// Returns whether the connection attempt has timed out or the queued messages make no progress.
+bool PeerLink::Outgoing::is_stalled(TimePoint now) const {
+  if (!socket->connected) return now - last_progress > kReconnectInterval;
+  return queued > 0 && now - last_progress > kStallTimeout;
 }
 
 void PeerLink::send(const std::string& node, const std::string& message) {
@@ -222,13 +222,13 @@
   if (it == outgoing_.end() || message.size() > wire::kLargestPeerMessage) return;
   Outgoing& peer = *it->second;
   const auto now = Clock::now();
-  if (peer.socket != nullptr && peer.is_stuck(now)) close_socket(peer);
+  if (peer.socket != nullptr && peer.is_stalled(now)) close_socket(peer);
   if (peer.socket == nullptr) {
-    if (peer.last_try != TimePoint{} && now - peer.last_try < kReconnectAfter) return;
+    if (peer.last_attempt != TimePoint{} && now - peer.last_attempt < kReconnectInterval) return;
     connect(peer);
-    return;  // gossip repeats; the next message is sent once the connection is open
+    return;  // this message is dropped; gossip repeats, and later ones use the connection
   }
-  if (!peer.socket->connected || peer.queued + message.size() > kMostQueued) return;
+  if (!peer.socket->connected || peer.queued + message.size() > kMaxQueuedBytes) return;
   peer.write(message);
 }
 
@@ -250,7 +250,7 @@
   };
   const int error = uv_write(&outgoing->request, reinterpret_cast<uv_stream_t*>(&socket->tcp),
                              &buffer, 1, written);
-  // The loop owns the message until its callback.
+  // libuv owns the message until the write callback runs.
   if (error == 0) static_cast<void>(outgoing.release());
 }
 
--- a/src/net/peer_link.hpp
+++ b/src/net/peer_link.hpp
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Gossip messages between the nodes: length-framed msgpack over TCP. Each node keeps one outgoing
-/// connection to every peer. What cannot be sent is dropped, since gossip repeats.
+/// Gossip messages between the nodes: msgpack with a length prefix over TCP. Each node keeps one
+/// outgoing connection to every peer. Messages that cannot be sent are dropped, because gossip
+/// repeats.
 
 #include <uv.h>
 
@@ -20,18 +21,18 @@
 /// loop's thread.
 class PeerLink {
  public:
-  /// Receives one message, as the peer gave it to send().
+  /// Receives one message exactly as the peer passed it to send().
   using Receive = std::function<void(const std::string& message)>;
 
-  /// Takes the node's own address and its peers from the settings. The loop must outlive the link.
+  /// Takes this node's address and its peers from the settings. The loop must outlive the link.
   PeerLink(uv_loop_t* loop, const Settings& settings);
 
-  /// Starts to accept connections of peers. Throws std::runtime_error if the address is wrong or in
-  /// use.
+  /// Starts to accept connections from peers. Throws std::runtime_error if the address is malformed
+  /// or in use.
   void listen(Receive receive);
 
-  /// Sends the message to the peer, or drops it: if the peer is unknown or not connected yet, if
-  /// the message is too large, or if too much is queued already.
+  /// Sends the message to the peer. Drops it if the peer is unknown or not connected, if the
+  /// message is too large, or if the peer's queue is full.
   void send(const std::string& node, const std::string& message);
 
  private:
