--- a/src/autoscale/desired_machines.cpp
+++ b/src/autoscale/desired_machines.cpp
@@ -100,7 +100,7 @@
   // Whether the job may use the type. Accelerators are kept for jobs that need them, unless the
   // backlog of other job arrays is long.
   bool is_candidate(const JobSpec& job, const MachineType& type) const {
-    if (!job.allows_type(type.name) || type.fits(job) == 0) return false;
+    if (!job.allows_type(type.name) || type.max_tasks(job) == 0) return false;
     if (job.gpus > 0 || type.gpus <= 0) return true;
     return !job.gang() && market_.backlog >= type.boot * kBacklogBoots;
   }
--- a/src/autoscale/return_policy.cpp
+++ b/src/autoscale/return_policy.cpp
@@ -180,7 +180,7 @@
   const auto& all_demand = term_.demand();
   return std::any_of(all_demand.begin(), all_demand.end(), [&](const leader::Demand& demand) {
     const JobSpec& job = *demand.job;
-    return job.gang() && sched::allowed_on(job, candidate) && type->fits(job) > 0;
+    return job.gang() && sched::allowed_on(job, candidate) && type->max_tasks(job) > 0;
   });
 }
 
--- a/src/base/features.cpp
+++ b/src/base/features.cpp
@@ -14,14 +14,14 @@
 void read_features(const toml::table& section, Features& features) {
   const std::map<std::string, bool*, std::less<>> known{
       {"durable_provisioning", &features.durable_provisioning},
-      {"machine_duties", &features.durable_provisioning},  // its name before 0.2, accepted for good
+      {"machine_duties", &features.durable_provisioning},  // name before 0.2; still accepted
   };
   for (const auto& [key, value] : section) {
     const std::string field = "features." + std::string(key.str());
     const auto feature = known.find(key.str());
-    if (feature == known.end()) fail(field, "there is no such feature");
+    if (feature == known.end()) fail(field, "unknown feature");
     const auto on = value.value_exact<bool>();
-    if (!on) fail(field, "true or false is needed");
+    if (!on) fail(field, "must be true or false");
     *feature->second = *on;
   }
 }
@@ -31,7 +31,7 @@
 Features parse_features(std::string_view toml_text) {
   const toml::table root = parse_toml(toml_text, "features");
   for (const auto& [key, value] : root) {
-    if (key.str() != "features") fail(std::string(key.str()), "there is no such section");
+    if (key.str() != "features") fail(std::string(key.str()), "unknown section");
   }
   const auto* section = root["features"].as_table();
   if (section == nullptr) fail("features", "this section is missing");
--- a/src/base/features.hpp
+++ b/src/base/features.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Optional features, switched on by a features file (TOML); see deploy/features.toml.
+/// Optional features, enabled by a features file (TOML); see deploy/features.toml.
 
 #include <string>
 #include <string_view>
@@ -9,14 +9,15 @@
 
 namespace asterstair {
 
-/// What is switched on. Without a features file everything is off.
+/// The enabled features. Without a features file all are off.
 struct Features {
-  /// A lease and an operation log for the provisioning of machines; see
+  /// Whether machines are provisioned under a lease and with an operation log; see
   /// docs/design/provisioning.md.
   bool durable_provisioning = false;
 };
 
-/// Parses the text of a features file. Throws SettingsError, which names the field in one line.
+/// Parses the text of a features file. Throws a SettingsError that names the field in one
+/// line.
 Features parse_features(std::string_view toml_text);
 
 /// Reads and parses a features file. Throws SettingsError. `main` calls it.
--- a/src/base/leader_timing.cpp
+++ b/src/base/leader_timing.cpp
@@ -1,4 +1,4 @@
-// Times of the leader that follow from the settings; docs/design.md has the argument for them.
+// Timing of the leader, derived from the settings. docs/design.md gives the derivation.
 
 #include <algorithm>
 
@@ -8,17 +8,19 @@
 namespace asterstair {
 namespace {
 
-// When a leader falls silent, the workers should find its successor before their leases expire:
-// the time to live is this share of theirs. Where their leases are too short for that in any case,
-// a long time to live outlasts more outages of the state service, and a majority of the nodes
-// replaces the leader sooner.
+// Bounds of the time to live of the leader's lease. It is normally 3/5 of the worker lease, so that
+// workers find the next leader after a failover before their own leases expire. If that is less
+// than the minimum, the worker leases are too short for this in any case, and the maximum is used:
+// it outlasts more outages of the state service, and a majority of the nodes can replace the leader
+// sooner.
 constexpr auto kMinLeaderTtl = 10s;
 constexpr auto kMaxLeaderTtl = 20s;
 
-// Least staleness bound with which a leader can work.
+// Minimum staleness bound with which a leader can operate.
 constexpr auto kMinViewStaleness = 2s;
 
-// For the drift of clocks on both terms, the worker's own timer and the steps in between.
+// Minimum slack for clock drift in the staleness and in the lease, the worker's own timer and the
+// steps in between.
 constexpr auto kMinSlack = 2s;
 
 }  // namespace
@@ -31,8 +33,8 @@
   if (staleness < kMinViewStaleness) {
     fail_setting(
         "cluster.workers.cancel_s",
-        "must exceed lease_s by at least 4 s and by report_s and 2 s, so that a leader cut "
-        "off from the state service stops in time");
+        "must exceed lease_s by at least 4 s and by at least report_s + 2 s, so that a leader "
+        "cut off from the state service stops in time");
   }
   return staleness;
 }
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Logging to standard error. Every package logs through it.
+/// Logging to standard error. All packages log through these functions.
 
 #include <spdlog/spdlog.h>
 
@@ -9,11 +9,11 @@
 
 namespace asterstair::log {
 
-/// Sets up logging. `main` calls it once, before anything is logged.
+/// Initializes logging. `main` calls it once, before anything is logged.
 ///
-/// The environment variable LOG_LEVEL names the level: `error`, `info` or `debug`. Any other value,
-/// and none, means `info`.
-/// @param node  the node's name, which stands in each line
+/// The environment variable LOG_LEVEL names the level: `error`, `info` or `debug`. If it is unset
+/// or has another value, the level is `info`.
+/// @param node  the node's name, which appears in every line
 void init(const std::string& node);
 
 /// Logs a failure that needs attention.
@@ -22,7 +22,7 @@
   spdlog::error(format, std::forward<Args>(args)...);
 }
 
-/// Logs an event that operators follow; docs/operations/README.md lists them.
+/// Logs an event that matters to operators; docs/operations/README.md lists these events.
 template <typename... Args>
 void info(fmt::format_string<Args...> format, Args&&... args) {
   spdlog::info(format, std::forward<Args>(args)...);
--- a/src/base/model.cpp
+++ b/src/base/model.cpp
@@ -13,8 +13,8 @@
   return std::find(zones.begin(), zones.end(), zone) != zones.end();
 }
 
-std::uint32_t MachineType::fits(const JobSpec& job) const {
-  // Keeps a quotient that is whole, but for rounding, from losing a task.
+std::uint32_t MachineType::max_tasks(const JobSpec& job) const {
+  // Prevents a rounding error in an integral quotient from costing one task.
   constexpr double kSlack = 1e-6;
   double tasks = job.tasks;
   if (job.cpus > 0) tasks = std::min(tasks, std::floor(cpus / job.cpus + kSlack));
--- a/src/base/runtime.hpp
+++ b/src/base/runtime.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What the core logic needs from outside: time, timers, random numbers and the network.
+/// Interface of the core logic to its environment: time, timers, random numbers and the network.
 
 #include <cstdint>
 #include <functional>
@@ -21,48 +21,50 @@
   std::string body;
 };
 
-/// HTTP answer.
+/// HTTP response.
 struct HttpResponse {
-  /// Status code; http_status::kNoAnswer (0) if no answer came, when the request may or may not
-  /// have been carried out.
+  /// Status code; http_status::kNoAnswer (0) if no response arrived. The request may then have
+  /// taken effect or not.
   int status = 0;
   std::string body;
-  /// Value of the header Retry-After; none: no such header.
+  /// Value of the header Retry-After; absent without that header.
   std::optional<std::chrono::seconds> retry_after{};
 };
 
-/// Receives the answer to a request.
+/// Receives the response to a request.
 using HttpCallback = std::function<void(HttpResponse)>;
-/// Names a timer that may be cancelled.
+/// Identifies a timer, for cancellation.
 using TimerId = std::uint64_t;
-/// Generator of all random numbers, so that a run can be replayed from its seed.
+/// Random number generator. All random numbers come from one generator, so that a run can be
+/// replayed from its seed.
 using Rng = std::mt19937_64;
 
-/// Interface to the outside world. The program implements it on libuv (package net), the tests with
-/// simulated time, so that every run can be replayed from its seed.
+/// Interface to the environment. The program implements it on libuv (package net). The tests
+/// implement it with simulated time, so that every run can be replayed from its seed.
 ///
-/// It is single-threaded: all calls and callbacks are on one loop. Callbacks run later than the
-/// call that asked for them.
+/// It is single-threaded: all calls and callbacks run on one event loop. A callback never runs
+/// inside the call that requested it.
 class Runtime {
  public:
   virtual ~Runtime() = default;
 
-  /// Returns the steady time.
+  /// Returns the current steady time.
   virtual TimePoint now() const = 0;
 
-  /// Returns the wall time.
+  /// Returns the current wall time.
   virtual WallTime wall() const = 0;
 
-  /// Returns the generator of random numbers.
+  /// Returns the random number generator.
   virtual Rng& rng() = 0;
 
-  /// Runs `action` once after `delay`, unless the timer is cancelled.
+  /// Runs `action` once after `delay`, unless the timer is cancelled. Returns the timer's id.
   virtual TimerId after(Duration delay, std::function<void()> action) = 0;
 
-  /// Cancels a timer. Does nothing if it has run or was cancelled.
+  /// Cancels a timer. Does nothing if it has expired or was cancelled before.
   virtual void cancel(TimerId id) = 0;
 
-  /// Sends one request. `done` runs exactly once, with http_status::kNoAnswer after `timeout`.
+  /// Sends one request. Calls `done` exactly once, with the response or, at the latest after
+  /// `timeout`, with http_status::kNoAnswer.
   virtual void http(const std::string& address, HttpRequest request, Duration timeout,
                     HttpCallback done) = 0;
 
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -11,19 +11,19 @@
 constexpr double kBytesPerKilobyte = 1024.0;
 constexpr double kBytesPerMegabyte = 1024.0 * 1024.0;
 
-// Limits of a node whose settings name none.
+// Limits of a node whose settings do not set them.
 constexpr std::size_t kDefaultConnections = 1024;
 constexpr std::size_t kDefaultMemory = std::size_t{64} * 1024 * 1024;
 
-// Least values of settings, below which the file is refused.
-constexpr double kLeastTime = 0.001;      // s
-constexpr double kLeastStateRate = 1;     // per s
-constexpr double kLeastCloudRate = 0.01;  // per s
-constexpr double kLeastValueKb = 1;
-constexpr double kLeastTxnOps = 4;
-constexpr double kLeastConnections = 16;
-constexpr double kLeastRamMb = 1;
-constexpr double kLeastCpuShareAccepted = 0.001;
+// Minimum values of settings; a file with a smaller value is rejected.
+constexpr double kMinTime = 0.001;      // s
+constexpr double kMinStateRate = 1;     // per s
+constexpr double kMinCloudRate = 0.01;  // per s
+constexpr double kMinValueKb = 1;
+constexpr double kMinTxnOps = 4;
+constexpr double kMinConnections = 16;
+constexpr double kMinRamMb = 1;
+constexpr double kMinCpuShare = 0.001;
 
 void read_node(const TomlReader& root, Settings& settings) {
   settings.node = root.text("node");
@@ -63,25 +63,25 @@
 
 void read_workers(const TomlReader& cluster, Settings& settings) {
   const auto workers = cluster.section("workers");
-  settings.heartbeat_interval = workers.time("report_s", kLeastTime);
-  settings.lease = workers.time("lease_s", kLeastTime);
-  settings.gang_wait = workers.time("gang_wait_s", kLeastTime);
-  settings.gang_peer = workers.time("gang_peer_s", kLeastTime);
-  settings.cancel_within = workers.time("cancel_s", kLeastTime);
+  settings.heartbeat_interval = workers.time("report_s", kMinTime);
+  settings.lease = workers.time("lease_s", kMinTime);
+  settings.gang_wait_timeout = workers.time("gang_wait_s", kMinTime);
+  settings.gang_peer_timeout = workers.time("gang_peer_s", kMinTime);
+  settings.cancel_within = workers.time("cancel_s", kMinTime);
 }
 
 void read_state_service(const TomlReader& cluster, Settings& settings) {
   const auto state = cluster.section("state");
-  settings.state_rps = state.number("rps", kLeastStateRate);
-  settings.state_write_rps = state.number("write_rps", kLeastStateRate);
+  settings.state_rps = state.number("rps", kMinStateRate);
+  settings.state_write_rps = state.number("write_rps", kMinStateRate);
   settings.value_bytes =
-      static_cast<std::size_t>(state.number("value_kb", kLeastValueKb) * kBytesPerKilobyte);
-  settings.txn_ops = static_cast<std::size_t>(state.number("txn_ops", kLeastTxnOps));
+      static_cast<std::size_t>(state.number("value_kb", kMinValueKb) * kBytesPerKilobyte);
+  settings.txn_ops = static_cast<std::size_t>(state.number("txn_ops", kMinTxnOps));
 }
 
 void read_cloud(const TomlReader& cluster, Settings& settings) {
   const auto cloud = cluster.section("cloud");
-  settings.cloud_rps = cloud.number("rps", kLeastCloudRate);
+  settings.cloud_rps = cloud.number("rps", kMinCloudRate);
   settings.list_lag = cloud.time("list_lag_s", 0);
 }
 
@@ -92,14 +92,14 @@
   if (!limits) return;
   if (limits->has("max_connections")) {
     settings.max_connections =
-        static_cast<std::size_t>(limits->number("max_connections", kLeastConnections));
+        static_cast<std::size_t>(limits->number("max_connections", kMinConnections));
   }
   if (limits->has("ram_mb")) {
     settings.memory_bytes =
-        static_cast<std::size_t>(limits->number("ram_mb", kLeastRamMb) * kBytesPerMegabyte);
+        static_cast<std::size_t>(limits->number("ram_mb", kMinRamMb) * kBytesPerMegabyte);
   }
   if (limits->has("cpu_share")) {
-    settings.cpu_share = std::min(1.0, limits->number("cpu_share", kLeastCpuShareAccepted));
+    settings.cpu_share = std::min(1.0, limits->number("cpu_share", kMinCpuShare));
   }
 }
 
@@ -107,18 +107,19 @@
 
 std::vector<std::string> limits_too_small(const Settings& settings) {
   std::vector<std::string> lines;
-  if (settings.memory_bytes < kLeastMemory) {
-    lines.push_back("cluster.machine_limits.ram_mb is less than a node needs, " +
-                    std::to_string(kLeastMemory / static_cast<std::size_t>(kBytesPerMegabyte)));
+  if (settings.memory_bytes < kMinRecommendedMemory) {
+    lines.push_back(
+        "cluster.machine_limits.ram_mb is below the recommended minimum of " +
+        std::to_string(kMinRecommendedMemory / static_cast<std::size_t>(kBytesPerMegabyte)));
   }
-  if (settings.cpu_share < kLeastCpuShare) {
-    lines.push_back("cluster.machine_limits.cpu_share is less than a node needs, " +
-                    std::to_string(kLeastCpuShare));
+  if (settings.cpu_share < kMinRecommendedCpuShare) {
+    lines.push_back("cluster.machine_limits.cpu_share is below the recommended minimum of " +
+                    std::to_string(kMinRecommendedCpuShare));
   }
   return lines;
 }
 
-// The first wrong field in this order is the one that the error names.
+// Reads the sections in a fixed order; the error names the first invalid field in this order.
 Settings parse_settings(std::string_view toml_text) {
   const toml::table table = parse_toml(toml_text, "settings");
   const TomlReader root(table, "");
@@ -132,7 +133,7 @@
   read_state_service(cluster, settings);
   read_cloud(cluster, settings);
   read_limits(cluster, settings);
-  leader_ttl(settings);  // refuses times with which no leader would be safe
+  leader_ttl(settings);  // rejects timings with which no leader is safe
   return settings;
 }
 
--- a/src/base/stoppable.hpp
+++ b/src/base/stoppable.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Guard for callbacks that may arrive after the object that asked for them has ended.
+/// Guard for callbacks that may run after the object that requested them was stopped or destroyed.
 
 #include <memory>
 #include <utility>
@@ -8,12 +8,12 @@
 namespace asterstair {
 
 /// Base of an object that lives for one term of leadership and hands out asynchronous callbacks.
-/// Timers and requests cannot be recalled, so their callbacks outlive the term. Derived objects
-/// must be owned by a shared_ptr.
+/// Pending timers and requests are not cancelled, so their callbacks may run after the term has
+/// ended. Derived objects must be owned by a shared_ptr.
 template <typename Self>
 class Stoppable : public std::enable_shared_from_this<Self> {
  public:
-  /// Ends the object's work: no callback wrapped by while_running() acts any more.
+  /// Stops the object: callbacks wrapped by while_running() do nothing from now on.
   void stop() { stopped_ = true; }
 
  protected:
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Time types that all packages use: steady time for intervals, wall time only for ages of jobs.
+/// Time types that all packages use: steady time for intervals, wall time only for the ages of
+/// jobs.
 
 #include <chrono>
 
@@ -12,14 +13,14 @@
 using TimePoint = Clock::time_point;
 /// Interval of steady time.
 using Duration = Clock::duration;
-/// Wall time, which all nodes and restarts share; it may jump.
+/// Wall time. It is comparable across nodes and restarts, but it may jump.
 using WallTime = std::chrono::system_clock::time_point;
-/// Seconds as a fraction, as settings and wire give them.
+/// Fractional seconds, as used in the settings and on the wire.
 using Seconds = std::chrono::duration<double>;
 using std::chrono::milliseconds;
 using namespace std::chrono_literals;
 
-/// Converts fractional seconds to an interval, cutting off below its resolution.
+/// Converts fractional seconds to an interval, truncated to its resolution.
 inline Duration to_duration(Seconds interval) {
   return std::chrono::duration_cast<Duration>(interval);
 }
@@ -27,8 +28,9 @@
 /// Converts an interval to fractional seconds.
 inline double seconds(Duration interval) { return std::chrono::duration<double>(interval).count(); }
 
-/// Share by which the steady clocks of two machines may differ (PROTOCOL). Waits for another
-/// machine's clock are lengthened by it, and the validity of our own leases is shortened.
+/// Maximum relative drift between the steady clocks of two machines (PROTOCOL). Waits that depend
+/// on another machine's clock are lengthened by it; the validity of this node's own leases is
+/// shortened by it.
 inline constexpr double kClockDrift = 0.001;
 
 }  // namespace asterstair
--- a/src/base/toml_file.hpp
+++ b/src/base/toml_file.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Reading of TOML files, for settings and features. Only package base includes this.
+/// Reads TOML files for settings and features. Only package base includes this.
 
 #include <toml++/toml.h>
 
@@ -10,7 +10,7 @@
 
 namespace asterstair {
 
-/// Returns the text of a file; none if it cannot be opened.
+/// Returns the text of a file, or nullopt if it cannot be opened.
 std::optional<std::string> read_text_file(const std::string& path);
 
 /// Parses TOML. Throws SettingsError "<kind>: line <n>: <problem>".
--- a/src/base/toml_reader.cpp
+++ b/src/base/toml_reader.cpp
@@ -5,11 +5,13 @@
 namespace asterstair {
 namespace {
 
-// Beyond any machine, rate or time that is meant.
-constexpr double kLargestNumber = 1e9;
-constexpr int kLargestPort = 65535;
+// Upper bound of numbers, above any meaningful machine size, rate or time.
+constexpr double kMaxNumber = 1e9;
 
-// Returns the port at the end of an address; 0 if there is none.
+// Maximum TCP port.
+constexpr int kMaxPort = 65535;
+
+// Returns the port at the end of an address, or 0 if it has none.
 int port_of(const std::string& address, std::size_t colon) {
   if (colon == std::string::npos) return 0;
   try {
@@ -31,7 +33,7 @@
 
 std::string TomlReader::text(std::string_view key) const {
   auto value = table_[key].value<std::string>();
-  if (!value || value->empty()) fail(key, "a non-empty string is needed");
+  if (!value || value->empty()) fail(key, "must be a non-empty string");
   return *value;
 }
 
@@ -39,11 +41,11 @@
   return table_[key].value_or(std::string());
 }
 
-double TomlReader::number(std::string_view key, double least) const {
+double TomlReader::number(std::string_view key, double minimum) const {
   const auto value = table_[key].value<double>();
-  // A value that is no number compares as false.
-  if (!value || !(*value >= least) || *value > kLargestNumber) {
-    fail(key, "a number of at least " + std::to_string(least) + " is needed");
+  // Written so that NaN, which compares as false, is rejected.
+  if (!value || !(*value >= minimum) || *value > kMaxNumber) {
+    fail(key, "must be a number of at least " + std::to_string(minimum) + " and at most 1e9");
   }
   return *value;
 }
@@ -52,16 +54,16 @@
   return has(key) ? number(key, 0) : 0.0;
 }
 
-Duration TomlReader::time(std::string_view key, double least) const {
-  return to_duration(Seconds(number(key, least)));
+Duration TomlReader::time(std::string_view key, double minimum) const {
+  return to_duration(Seconds(number(key, minimum)));
 }
 
 std::string TomlReader::address(std::string_view key) const {
   auto value = text(key);
   const auto colon = value.rfind(':');
   const int port = port_of(value, colon);
-  if (colon == 0 || port < 1 || port > kLargestPort) {
-    fail(key, "an address like 10.0.0.1:8080 is needed");
+  if (colon == 0 || port < 1 || port > kMaxPort) {
+    fail(key, "must be an address such as 10.0.0.1:8080");
   }
   return value;
 }
@@ -83,11 +85,11 @@
   if (const auto* list = table_[key].as_array()) {
     for (const auto& item : *list) {
       const auto name = item.value<std::string>();
-      if (!name) fail(key, "a list of names is needed");
+      if (!name) fail(key, "must be a non-empty list of names");
       names.push_back(*name);
     }
   }
-  if (names.empty()) fail(key, "a list of names is needed");
+  if (names.empty()) fail(key, "must be a non-empty list of names");
   return names;
 }
 
@@ -96,10 +98,10 @@
   const auto node = table_[key];
   if (!node) return;
   const auto* list = node.as_array();
-  if (list == nullptr) fail(key, "a list of tables is needed");
+  if (list == nullptr) fail(key, "must be a list of tables");
   for (const auto& item : *list) {
     const auto* table = item.as_table();
-    if (table == nullptr) fail(key, "a list of tables is needed");
+    if (table == nullptr) fail(key, "must be a list of tables");
     action(TomlReader(*table, path_of(key) + "."));
   }
 }
--- a/src/base/toml_reader.hpp
+++ b/src/base/toml_reader.hpp
@@ -14,46 +14,46 @@
 
 namespace asterstair {
 
-/// A section of the settings file with its place in the file, such as `cluster.workers.`.
+/// A section of the settings file with its path in the file, such as `cluster.workers.`.
 ///
-/// Every getter throws SettingsError, which names the field in full, if the field is absent or
-/// wrong.
+/// Unless stated otherwise, a getter throws a SettingsError with the full path of the field if the
+/// field is absent or invalid.
 class TomlReader {
  public:
-  /// @param path  place of the table in the file: empty, or with a dot at its end
+  /// @param path  path of the table in the file: empty, or with a dot at its end
   TomlReader(const toml::table& table, std::string path) : table_(table), path_(std::move(path)) {}
 
-  /// Whether the field is there.
+  /// Returns whether the field exists.
   bool has(std::string_view key) const { return table_.contains(key); }
 
-  /// Returns a string that must not be empty.
+  /// Returns a non-empty string.
   std::string text(std::string_view key) const;
 
-  /// Returns a string; empty if it is absent or no string.
+  /// Returns a string; empty if the field is absent or not a string.
   std::string optional_text(std::string_view key) const;
 
-  /// Returns a number of at least `least` and at most 1e9.
-  double number(std::string_view key, double least) const;
+  /// Returns a number of at least `minimum` and at most 1e9.
+  double number(std::string_view key, double minimum) const;
 
-  /// Returns a number of at least 0; 0 if it is absent.
+  /// Returns a number of at least 0 and at most 1e9; 0 if the field is absent.
   double optional_number(std::string_view key) const;
 
-  /// Returns a time in seconds of at least `least`.
-  Duration time(std::string_view key, double least) const;
+  /// Returns a time in seconds of at least `minimum`.
+  Duration time(std::string_view key, double minimum) const;
 
   /// Returns an address: host, colon, port.
   std::string address(std::string_view key) const;
 
-  /// Returns a section that must be there.
+  /// Returns a required section.
   TomlReader section(std::string_view key) const;
 
-  /// Returns a section; none if it is absent or no section.
+  /// Returns a section, or nullopt if the field is absent or not a section.
   std::optional<TomlReader> optional_section(std::string_view key) const;
 
-  /// Returns a list of names, which must not be empty.
+  /// Returns a non-empty list of names.
   std::vector<std::string> names(std::string_view key) const;
 
-  /// Calls `action` for each table in a list of tables, which may be absent.
+  /// Calls `action` for each table in a list of tables. Does nothing if the list is absent.
   void for_each_table(std::string_view key,
                       const std::function<void(const TomlReader&)>& action) const;
 
--- a/src/leader/attempt_tracker.cpp
+++ b/src/leader/attempt_tracker.cpp
@@ -22,9 +22,9 @@
       return "done";
     case ExitCause::Stopped:
       return "stopped";
-    case ExitCause::Peers:
+    case ExitCause::PeerLost:
       return "peers";
-    case ExitCause::Alone:
+    case ExitCause::PeersMissing:
       return "alone";
     case ExitCause::Error:
       return "error";
@@ -42,7 +42,7 @@
 double saved_seconds(const TaskAttempt& attempt, const JobSpec& job, TimePoint now) {
   const double run_time = seconds(now - *attempt.running_since);
   if (attempt.saved) return run_time;
-  const double interval = job.checkpoint.count();
+  const double interval = job.checkpoint_interval.count();
   return static_cast<double>(static_cast<std::int64_t>(run_time / interval)) * interval;
 }
 
@@ -166,7 +166,7 @@
     return false;
   }
   if (attempt.running_since) {
-    if (job->spec->checkpoint.count() > 0) {
+    if (job->spec->checkpoint_interval.count() > 0) {
       job->saved_seconds[task] += saved_seconds(attempt, *job->spec, context_.now());
     }
     job->last_zone = machine.zone;
--- a/src/leader/consolidator.cpp
+++ b/src/leader/consolidator.cpp
@@ -29,7 +29,7 @@
 // A task that exceeds its estimate is expected to run on for this share of its run time so far.
 constexpr double kOverrunShare = 0.3;
 
-bool can_save(const JobSpec& job) { return job.checkpoint.count() > 0; }
+bool can_save(const JobSpec& job) { return job.checkpoint_interval.count() > 0; }
 
 // Price of the machine's idle resources, in the unit of the catalog.
 double idle_cost(const sched::PlanMachine& machine) {
@@ -142,7 +142,7 @@
   const double fetch_rate = type != nullptr && type->fetch_gb_per_s > 0
                                 ? type->fetch_gb_per_s
                                 : sched::kDefaultFetchGbPerSecond;
-  return job.save + sched::start_delay(job.image_gb, false, fetch_rate);
+  return job.checkpoint_time + sched::start_delay(job.image_gb, false, fetch_rate);
 }
 
 // Stops the tasks that can save a checkpoint, so that they continue on other machines. The others
--- a/src/leader/gang_controller.cpp
+++ b/src/leader/gang_controller.cpp
@@ -51,7 +51,8 @@
   const auto now = context_.now();
   const Seconds notice = machine.reclaim_at ? Seconds(*machine.reclaim_at - now) : kAssumedNotice;
   const JobSpec& job = *attempt.job;
-  if (job.checkpoint.count() > 0 && sched::final_checkpoint_fits(job.save, kRestartTime, notice)) {
+  if (job.checkpoint_interval.count() > 0 &&
+      sched::final_checkpoint_fits(job.checkpoint_time, kRestartTime, notice)) {
     return checkpoint_grace(job);
   }
   // A task that can neither save nor end in time loses its work in any case. If it is stopped now,
@@ -64,8 +65,8 @@
 }
 
 Seconds GangController::checkpoint_grace(const JobSpec& job) const {
-  if (job.checkpoint.count() <= 0) return Seconds(0);
-  return job.save + Seconds(context_.settings.gang_peer);
+  if (job.checkpoint_interval.count() <= 0) return Seconds(0);
+  return job.checkpoint_time + Seconds(context_.settings.gang_peer_timeout);
 }
 
 void GangController::stop_gang(const Job& job, Seconds grace,
@@ -85,7 +86,7 @@
 
 std::optional<Seconds> GangController::checkpoint_interval(const Job& job,
                                                            const Machine& machine) const {
-  if (job.spec->checkpoint.count() <= 0) return std::nullopt;
+  if (job.spec->checkpoint_interval.count() <= 0) return std::nullopt;
   const auto now = context_.now();
   double loss_rate = 0;
   if (job.spec->gang()) {
@@ -96,7 +97,7 @@
   } else {
     loss_rate = cluster_.losses.rate_of(machine, now);
   }
-  return sched::checkpoint_interval(job.spec->save, loss_rate, sched::kLossBudget);
+  return sched::checkpoint_interval(job.spec->checkpoint_time, loss_rate, sched::kLossBudget);
 }
 
 }  // namespace asterstair::leader
--- a/src/leader/heartbeat_commands.cpp
+++ b/src/leader/heartbeat_commands.cpp
@@ -72,7 +72,7 @@
     if (attempt.phase != TaskAttempt::Phase::Pending || job == nullptr) continue;
     if (job->start_record != Job::StartRecord::Durable) continue;
     Command start{Command::Op::Start, attempt.task, attempt.attempt};
-    start.interval = gangs_.checkpoint_interval(*job, machine);
+    start.checkpoint_interval = gangs_.checkpoint_interval(*job, machine);
     attempt.phase = TaskAttempt::Phase::Dispatched;
     commands.push_back(std::move(start));
   }
--- a/src/leader/scheduling_loop.cpp
+++ b/src/leader/scheduling_loop.cpp
@@ -142,7 +142,7 @@
 // without checkpoints its whole run time.
 Seconds SchedulingLoop::work_lost_by_stop(const TaskAttempt& attempt) const {
   if (!attempt.running_since) return Seconds(0);
-  if (attempt.job->checkpoint.count() > 0) return attempt.job->save;
+  if (attempt.job->checkpoint_interval.count() > 0) return attempt.job->checkpoint_time;
   return Seconds(context_.now() - *attempt.running_since);
 }
 
--- a/src/sched/preemption.cpp
+++ b/src/sched/preemption.cpp
@@ -80,7 +80,7 @@
     const PlanJob& planned = snapshot_.jobs[job_index];
     const JobSpec& spec = *planned.job;
     if (machine.reserved_for && *machine.reserved_for != job_index) return false;
-    return allowed_on(spec, machine) && machine.type->fits(spec) > 0 &&
+    return allowed_on(spec, machine) && machine.type->max_tasks(spec) > 0 &&
            tasks_allowed_in_zone(spec, planned.in_zone, machine.zone) > 0 &&
            (planned.avoided_machines == nullptr ||
             planned.avoided_machines->count(machine.ref) == 0);
--- a/src/sched/reservation.cpp
+++ b/src/sched/reservation.cpp
@@ -24,7 +24,7 @@
 std::vector<std::size_t> reservable_machines(PlanningRound& round, const PlanJob& planned) {
   std::vector<std::size_t> found;
   for (const MachineGroup& group : round.groups()) {
-    if (!allowed_on(planned, group) || group.type->fits(*planned.job) == 0) continue;
+    if (!allowed_on(planned, group) || group.type->max_tasks(*planned.job) == 0) continue;
     for (const std::size_t index : group.machines) {
       if (!round.machine(index).reserved_for) found.push_back(index);
     }
@@ -52,7 +52,7 @@
     const PlanMachine& machine = round.machine(index);
     if (zone != nullptr && machine.zone != *zone) continue;
     const std::uint32_t tasks_here =
-        std::min({tasks, machine.type->fits(*planned.job),
+        std::min({tasks, machine.type->max_tasks(*planned.job),
                   tasks_allowed_in_zone(*planned.job, in_zone, machine.zone)});
     if (tasks_here == 0) continue;
     in_zone[machine.zone] += tasks_here;
--- a/src/wire/command_writer.cpp
+++ b/src/wire/command_writer.cpp
@@ -29,9 +29,9 @@
   switch (command.op) {
     case Command::Op::Start:
       writer.String(kStart);
-      if (command.interval) {
+      if (command.checkpoint_interval) {
         writer.Key(name::kInterval);
-        writer.Double(command.interval->count());
+        writer.Double(command.checkpoint_interval->count());
       }
       break;
     case Command::Op::Stop:
--- a/src/wire/task_words.cpp
+++ b/src/wire/task_words.cpp
@@ -37,8 +37,8 @@
 ExitCause decode_exit_cause(std::string_view word) {
   if (word == "done") return ExitCause::Done;
   if (word == "halted") return ExitCause::Stopped;
-  if (word == "peers") return ExitCause::Peers;
-  if (word == "alone") return ExitCause::Alone;
+  if (word == "peers") return ExitCause::PeerLost;
+  if (word == "alone") return ExitCause::PeersMissing;
   if (word == "error") return ExitCause::Error;
   if (word == "no_room") return ExitCause::NoRoom;
   if (word == "in_use") return ExitCause::Busy;
--- a/src/wire/user.cpp
+++ b/src/wire/user.cpp
@@ -100,8 +100,8 @@
 
 void decode_times(const Json& body, JobSpec& job) {
   job.estimate = Seconds(number(body, name::kEstimate));
-  job.checkpoint = Seconds(number(body, name::kCheckpoint));
-  job.save = Seconds(number(body, name::kSave));
+  job.checkpoint_interval = Seconds(number(body, name::kCheckpoint));
+  job.checkpoint_time = Seconds(number(body, name::kSave));
   if (optional_member(body, name::kDeadline) != nullptr) {
     job.deadline = Seconds(number(body, name::kDeadline));
   }
@@ -150,8 +150,8 @@
               {name::kSpread, job.spread},
               {name::kSpot, job.spot},
               {name::kEstimate, job.estimate.count()},
-              {name::kCheckpoint, job.checkpoint.count()},
-              {name::kSave, job.save.count()}};
+              {name::kCheckpoint, job.checkpoint_interval.count()},
+              {name::kSave, job.checkpoint_time.count()}};
   if (job.types) out[name::kTypes] = *job.types;
   if (job.zone) out[name::kZone] = *job.zone;
   if (job.deadline) out[name::kDeadline] = job.deadline->count();
--- a/tests/golden_messages_test.cpp
+++ b/tests/golden_messages_test.cpp
@@ -40,8 +40,8 @@
   EXPECT_FALSE(job.spread);
   EXPECT_TRUE(job.spot);
   EXPECT_EQ(job.estimate, Seconds(240));
-  EXPECT_EQ(job.checkpoint, Seconds(30));
-  EXPECT_EQ(job.save, Seconds(4));
+  EXPECT_EQ(job.checkpoint_interval, Seconds(30));
+  EXPECT_EQ(job.checkpoint_time, Seconds(4));
   EXPECT_EQ(job.deadline, Seconds(900));
 }
 
@@ -89,9 +89,9 @@
   EXPECT_EQ(report.preemption_notice, Seconds(12.5));
   const TaskState states[] = {TaskState::Fetching, TaskState::Waiting, TaskState::Running,
                               TaskState::Saving};
-  const ExitCause causes[] = {ExitCause::Done,  ExitCause::Stopped, ExitCause::Peers,
-                              ExitCause::Alone, ExitCause::Error,   ExitCause::NoRoom,
-                              ExitCause::Busy,  ExitCause::Unknown};
+  const ExitCause causes[] = {ExitCause::Done,         ExitCause::Stopped, ExitCause::PeerLost,
+                              ExitCause::PeersMissing, ExitCause::Error,   ExitCause::NoRoom,
+                              ExitCause::Busy,         ExitCause::Unknown};
   ASSERT_EQ(report.tasks.size(), 12U);
   for (std::uint32_t i = 0; i < 4; ++i) {
     EXPECT_EQ(report.tasks[i].task, (TaskId{"req-000412", i + 3}));
@@ -108,7 +108,7 @@
 
 TEST(WorkerMessages, CommandsKeepTheirForm) {
   Command start{Command::Op::Start, {"req-000412", 4}, 2};
-  start.interval = Seconds(30);
+  start.checkpoint_interval = Seconds(30);
   const std::vector<Command> commands{start,
                                       {Command::Op::Start, {"req-2", 0}, 3},
                                       {Command::Op::Stop, {"req-000377", 1}, 1, Seconds(10)},
--- a/tests/golden_settings_test.cpp
+++ b/tests/golden_settings_test.cpp
@@ -1,4 +1,5 @@
-// The settings and features files as literals: every field is read under its present name.
+// Literal settings and features files. Guards against a field that is renamed, no longer read, or
+// read with a different unit.
 
 #include <gtest/gtest.h>
 
@@ -10,7 +11,7 @@
 using namespace asterstair;
 
 TEST(SettingsFile, EveryFieldIsRead) {
-  const auto s = parse_settings(R"(
+  const auto settings = parse_settings(R"(
 node = "ghat-0"
 zone = "a"
 api_addr = "10.0.0.1:8080"
@@ -54,45 +55,45 @@
 ram_mb = 64.0
 max_connections = 800
 )");
-  EXPECT_EQ(s.node, "ghat-0");
-  EXPECT_EQ(s.zone, "a");
-  EXPECT_EQ(s.api_address, "10.0.0.1:8080");
-  EXPECT_EQ(s.peer_address, "10.0.0.1:8081");
-  ASSERT_EQ(s.peers.size(), 1U);
-  EXPECT_EQ(s.peers[0].node, "ghat-1");
-  EXPECT_EQ(s.peers[0].zone, "b");
-  EXPECT_EQ(s.peers[0].address, "10.0.0.2:8081");
-  EXPECT_EQ(s.cloud_address, "10.2.0.2:8443");
-  EXPECT_EQ(s.state_address, "10.2.0.1:2379");
-  EXPECT_EQ(s.zones, (std::vector<std::string>{"a", "b"}));
-  const auto& team = s.teams.at("red");
+  EXPECT_EQ(settings.node, "ghat-0");
+  EXPECT_EQ(settings.zone, "a");
+  EXPECT_EQ(settings.api_address, "10.0.0.1:8080");
+  EXPECT_EQ(settings.peer_address, "10.0.0.1:8081");
+  ASSERT_EQ(settings.peers.size(), 1U);
+  EXPECT_EQ(settings.peers[0].node, "ghat-1");
+  EXPECT_EQ(settings.peers[0].zone, "b");
+  EXPECT_EQ(settings.peers[0].address, "10.0.0.2:8081");
+  EXPECT_EQ(settings.cloud_address, "10.2.0.2:8443");
+  EXPECT_EQ(settings.state_address, "10.2.0.1:2379");
+  EXPECT_EQ(settings.zones, (std::vector<std::string>{"a", "b"}));
+  const auto& team = settings.teams.at("red");
   EXPECT_EQ(team.name, "red");
   EXPECT_EQ(team.cpus, 16);
   EXPECT_EQ(team.cpus_max, 40);
   EXPECT_EQ(team.gpus, 2);
   EXPECT_EQ(team.gpus_max, 4);
-  ASSERT_EQ(s.objectives.size(), 1U);
-  EXPECT_EQ(s.objectives[0].kind, "finished");
-  EXPECT_EQ(s.objectives[0].job_class, "train");
-  EXPECT_EQ(s.objectives[0].within, Seconds(150));
-  EXPECT_EQ(s.objectives[0].share, 0.94);
-  EXPECT_EQ(s.heartbeat_interval, 2s);
-  EXPECT_EQ(s.lease, 10s);
-  EXPECT_EQ(s.gang_wait, 60s);
-  EXPECT_EQ(s.gang_peer, 5s);
-  EXPECT_EQ(s.cancel_within, 40s);
-  EXPECT_EQ(s.state_rps, 120);
-  EXPECT_EQ(s.state_write_rps, 40);
-  EXPECT_EQ(s.value_bytes, 8192U);
-  EXPECT_EQ(s.txn_ops, 8U);
-  EXPECT_EQ(s.cloud_rps, 4);
-  EXPECT_EQ(s.list_lag, 5s);
-  EXPECT_EQ(s.cpu_share, 0.1);
-  EXPECT_EQ(s.memory_bytes, 64U * 1024 * 1024);
-  EXPECT_EQ(s.max_connections, 800U);
+  ASSERT_EQ(settings.objectives.size(), 1U);
+  EXPECT_EQ(settings.objectives[0].kind, "finished");
+  EXPECT_EQ(settings.objectives[0].job_class, "train");
+  EXPECT_EQ(settings.objectives[0].within, Seconds(150));
+  EXPECT_EQ(settings.objectives[0].share, 0.94);
+  EXPECT_EQ(settings.heartbeat_interval, 2s);
+  EXPECT_EQ(settings.lease, 10s);
+  EXPECT_EQ(settings.gang_wait_timeout, 60s);
+  EXPECT_EQ(settings.gang_peer_timeout, 5s);
+  EXPECT_EQ(settings.cancel_within, 40s);
+  EXPECT_EQ(settings.state_rps, 120);
+  EXPECT_EQ(settings.state_write_rps, 40);
+  EXPECT_EQ(settings.value_bytes, 8192U);
+  EXPECT_EQ(settings.txn_ops, 8U);
+  EXPECT_EQ(settings.cloud_rps, 4);
+  EXPECT_EQ(settings.list_lag, 5s);
+  EXPECT_EQ(settings.cpu_share, 0.1);
+  EXPECT_EQ(settings.memory_bytes, 64U * 1024 * 1024);
+  EXPECT_EQ(settings.max_connections, 800U);
 }
 
-TEST(FeaturesFile, EveryFeatureIsReadUnderItsPresentAndFormerNames) {
+TEST(FeaturesFile, EveryFeatureIsReadUnderItsCurrentAndFormerNames) {
   for (const char* const name : {"durable_provisioning", "machine_duties"}) {
     const std::string section = "[features]\n" + std::string(name);
     EXPECT_TRUE(parse_features(section + " = true\n").durable_provisioning) << name;
