--- a/tests/http_client_test.cpp
+++ b/tests/http_client_test.cpp
@@ -1,4 +1,5 @@
-// The HTTP client on loopback: connections that it keeps, closes and uses again.
+// Tests of the HTTP client on loopback: reuse and eviction of pooled connections, and failed
+// requests.
 
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -12,34 +13,35 @@
 
 class HttpClient : public test_support::HttpFixture {};
 
-TEST_F(HttpClient, ReusesAConnection) {
+TEST_F(HttpClient, ReusesAnIdleConnection) {
   net::HttpClient client(&loop, 8);
-  std::vector<HttpResponse> got;
-  client.send(address(), {"POST", "/x", "hello"}, 5s, [&](HttpResponse r) {
-    got.push_back(std::move(r));
+  std::vector<HttpResponse> responses;
+  client.send(address(), {"POST", "/x", "hello"}, 5s, [&](HttpResponse response) {
+    responses.push_back(std::move(response));
     client.send(address(), {"GET", "/missing", ""}, 5s,
-                [&](HttpResponse q) { got.push_back(std::move(q)); });
+                [&](HttpResponse second) { responses.push_back(std::move(second)); });
   });
-  run_until([&] { return got.size() == 2; });
-  ASSERT_EQ(got.size(), 2U);
-  EXPECT_EQ(got[0].status, 200);
-  EXPECT_EQ(got[0].body, "POST hello");
-  EXPECT_EQ(got[0].retry_after, std::chrono::seconds(7));
-  EXPECT_EQ(got[1].status, 404);
+  run_until([&] { return responses.size() == 2; });
+  ASSERT_EQ(responses.size(), 2U);
+  EXPECT_EQ(responses[0].status, 200);
+  EXPECT_EQ(responses[0].body, "POST hello");
+  EXPECT_EQ(responses[0].retry_after, std::chrono::seconds(7));
+  EXPECT_EQ(responses[1].status, 404);
   EXPECT_EQ(server->connections(), 1U);
 }
 
-// Idle connections to many addresses make room for others.
+// Guards against an exhausted pool: idle connections to many addresses must be closed when another
+// address needs a connection.
 TEST_F(HttpClient, ClosesIdleConnectionsForOtherAddresses) {
-  net::HttpServer wide(&loop, net::HttpServer::Limits{40, 1024, 5s, 5s, 40},
-                       [](const HttpRequest&, const net::Respond& respond) {
-                         respond({200, "{}"});
-                       });
+  net::HttpServer any_address_server(&loop, net::HttpServer::Limits{40, 1024, 5s, 5s, 40},
+                                     [](const HttpRequest&, const net::Respond& respond) {
+                                       respond({200, "{}"});
+                                     });
   int port = server_port;
-  for (bool taken = true; taken;) {
+  for (bool port_in_use = true; port_in_use;) {
     try {
-      wide.listen("0.0.0.0:" + std::to_string(++port));
-      taken = false;
+      any_address_server.listen("0.0.0.0:" + std::to_string(++port));
+      port_in_use = false;
     } catch (const std::runtime_error&) {
       continue;
     }
@@ -48,53 +50,57 @@
   for (int i = 1; i <= 20; ++i) {
     int status = -1;
     client.send("127.0.0." + std::to_string(i) + ":" + std::to_string(port), {"GET", "/", ""}, 5s,
-                [&](const HttpResponse& r) { status = r.status; });
+                [&](const HttpResponse& response) { status = response.status; });
     run_until([&] { return status != -1; });
     EXPECT_EQ(status, 200) << "address " << i;
   }
 }
 
-TEST_F(HttpClient, GetsNoAnswerWithoutAServer) {
+TEST_F(HttpClient, ReportsNoResponseWithoutAServer) {
   net::HttpClient client(&loop, 8);
   int status = -1;
   client.send("127.0.0.1:1", {"GET", "/", ""}, 5s,
-              [&](const HttpResponse& r) { status = r.status; });
+              [&](const HttpResponse& response) { status = response.status; });
   run_until([&] { return status != -1; });
   EXPECT_EQ(status, 0);
 }
 
-// The answer is there before the request has been written: the write handle still belongs to the
-// loop. Reusing it corrupted memory when more than a thousand events waited after a standstill.
-TEST_F(HttpClient, ReusesNoUnfinishedWriteAfterAnEarlyAnswer) {
+// The response arrives before the request has been written completely, while libuv still owns the
+// write handle. Reusing the connection in this state corrupted memory. It happened after a pause of
+// the process, when more than a thousand events were pending.
+TEST_F(HttpClient, DoesNotReuseAConnectionWithAnUnfinishedWrite) {
   const int listener = socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in a{};
-  a.sin_family = AF_INET;
-  a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  ASSERT_EQ(bind(listener, reinterpret_cast<sockaddr*>(&a), sizeof a), 0);
+  sockaddr_in listen_address{};
+  listen_address.sin_family = AF_INET;
+  listen_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  ASSERT_EQ(bind(listener, reinterpret_cast<sockaddr*>(&listen_address), sizeof listen_address), 0);
   ASSERT_EQ(listen(listener, 8), 0);
-  socklen_t size = sizeof a;
-  getsockname(listener, reinterpret_cast<sockaddr*>(&a), &size);
-  const std::string to = "127.0.0.1:" + std::to_string(ntohs(a.sin_port));
+  socklen_t size = sizeof listen_address;
+  getsockname(listener, reinterpret_cast<sockaddr*>(&listen_address), &size);
+  const std::string target = "127.0.0.1:" + std::to_string(ntohs(listen_address.sin_port));
 
   net::HttpClient client(&loop, 8);
-  int answers = 0;
+  int successes = 0;
   const HttpRequest large{"POST", "/x", std::string(std::size_t{64} << 20U, 'x')};
-  const auto count = [&](const HttpResponse& r) { answers += r.status == 200 ? 1 : 0; };
-  client.send(to, large, 20s, [&](const HttpResponse& r) {
-    count(r);
-    client.send(to, large, 20s, count);
+  const auto count_success = [&](const HttpResponse& response) {
+    successes += response.status == 200 ? 1 : 0;
+  };
+  client.send(target, large, 20s, [&](const HttpResponse& response) {
+    count_success(response);
+    client.send(target, large, 20s, count_success);
   });
   std::vector<int> fds;
-  const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+  const std::string early_response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
   for (int i = 1; i <= 2; ++i) {
-    pollfd p{listener, POLLIN, 0};
-    run_until([&] { return poll(&p, 1, 0) > 0; });
-    ASSERT_GT(poll(&p, 1, 0), 0) << "no connection of its own for request " << i;
+    pollfd incoming{listener, POLLIN, 0};
+    run_until([&] { return poll(&incoming, 1, 0) > 0; });
+    ASSERT_GT(poll(&incoming, 1, 0), 0) << "no separate connection for request " << i;
     fds.push_back(accept(listener, nullptr, nullptr));
-    ASSERT_EQ(write(fds.back(), answer.data(), answer.size()), static_cast<ssize_t>(answer.size()));
-    run_until([&] { return answers == i; });
+    ASSERT_EQ(write(fds.back(), early_response.data(), early_response.size()),
+              static_cast<ssize_t>(early_response.size()));
+    run_until([&] { return successes == i; });
   }
-  EXPECT_EQ(answers, 2);
+  EXPECT_EQ(successes, 2);
   for (const int fd : fds) close(fd);
   close(listener);
 }
--- a/tests/http_fixture.hpp
+++ b/tests/http_fixture.hpp
@@ -1,4 +1,6 @@
 #pragma once
+/// @file
+/// Test fixture with an HTTP server on loopback, for the tests of the HTTP client and server.
 
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -17,12 +19,12 @@
 
 using namespace asterstair;
 
-/// An HTTP server with small limits on loopback, on a loop that the test runs.
+/// Runs an HTTP server with small limits on loopback, on an event loop that the test drives.
 class HttpFixture : public testing::Test {
  protected:
   HttpFixture() {
     uv_loop_init(&loop);
-    // The server takes addresses as settings give them, with a port: tries a few.
+    // Port 0 is not a valid address in the settings, so the fixture searches for a free port.
     for (int port = 20000 + getpid() % 20000; server_port == 0; ++port) {
       server = std::make_unique<net::HttpServer>(
           &loop, net::HttpServer::Limits{4, 1024, 300ms, 300ms, 3, 1500},
@@ -35,13 +37,13 @@
         server->listen("127.0.0.1:" + std::to_string(port));
         server_port = port;
       } catch (const std::runtime_error&) {
-        continue;  // taken
+        continue;  // the port is in use
       }
     }
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(server_port); }
-  /// Runs the loop until the condition holds. Bounded: a condition that never comes fails its test
-  /// instead of hanging it.
+  /// Runs the loop until the condition holds, but for a limited number of iterations, so that a
+  /// condition that never holds fails the test instead of blocking it.
   template <typename F>
   void run_until(F done) {
     for (int i = 0; i < 5000 && !done(); ++i) {
@@ -49,7 +51,7 @@
       usleep(1000);
     }
   }
-  /// Connects and sends these bytes. Returns the socket.
+  /// Opens a raw connection to the server and sends the bytes. Returns the socket.
   int connect_raw(const std::string& bytes) {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in a{};
@@ -58,7 +60,7 @@
     EXPECT_EQ(write(fd, bytes.data(), bytes.size()), static_cast<ssize_t>(bytes.size()));
     return fd;
   }
-  /// What the server sends until it closes the connection.
+  /// Returns everything that the server sends until it closes the connection.
   std::string read_raw(int fd) {
     std::string out;
     bool closed = false;
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -1,4 +1,5 @@
-// The HTTP server on loopback: limits, unfinished and malformed requests.
+// Tests of the HTTP server on loopback: its limits, and incomplete, malformed and pipelined
+// requests.
 
 #include <gtest/gtest.h>
 
@@ -18,14 +19,15 @@
 }
 
 TEST_F(HttpServer, ClosesUnfinishedRequests) {
-  // Half a request: the server closes it after the timeout and serves nothing.
+  // The body is incomplete: the server closes the connection after the timeout without calling the
+  // handler.
   EXPECT_EQ(read_raw(connect_raw("POST /x HTTP/1.1\r\nContent-Length: 5\r\n\r\nab")), "");
   EXPECT_EQ(served, 0);
   EXPECT_EQ(server->connections(), 0U);
 }
 
-// With hundreds of connections, bodies that never become complete would use up a small machine's
-// memory.
+// Guards against memory exhaustion: on a small machine, incomplete bodies on hundreds of
+// connections would use up the memory.
 TEST_F(HttpServer, BoundsTheMemoryOfUnfinishedRequests) {
   const std::string half =
       "POST /x HTTP/1.1\r\nContent-Length: 1000\r\n\r\n" + std::string(700, 'a');
@@ -35,7 +37,7 @@
   const auto refused = read_raw(connect_raw(half));
   EXPECT_NE(refused.find("503 Service Unavailable"), std::string::npos);
   EXPECT_NE(refused.find("Retry-After: 1"), std::string::npos);
-  // The others time out soon, and there is room again.
+  // The two incomplete requests time out and release their buffers.
   EXPECT_EQ(read_raw(first), "");
   EXPECT_EQ(read_raw(second), "");
   const auto whole = "POST /x HTTP/1.1\r\nConnection: close\r\nContent-Length: 1000\r\n\r\n" +
@@ -52,8 +54,8 @@
   EXPECT_EQ(served, 2);
 }
 
-// A fleet may have more workers than a node has sockets. Idle connections are closed, busy ones are
-// not, and every new connection is served.
+// There may be more workers than a node may have connections. At the limit, the server closes idle
+// connections, keeps busy ones, and serves every new connection.
 TEST_F(HttpServer, KeepsItsConnectionLimitAndServesNewConnections) {
   std::vector<int> fds;
   fds.reserve(8);
@@ -62,7 +64,8 @@
   EXPECT_LE(server->connections(), 4U);
   const auto out = read_raw(connect_raw("GET /a HTTP/1.1\r\n\r\n"));
   EXPECT_NE(out.find("200 OK"), std::string::npos);
-  EXPECT_NE(out.find("Connection: close"), std::string::npos) << "kept open near the bound";
+  EXPECT_NE(out.find("Connection: close"), std::string::npos)
+      << "not closed near the connection limit";
   EXPECT_LE(server->connections(), 4U);
   for (const int fd : fds) close(fd);
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,5 @@
-// The settings and features files: what is accepted, and the field that an error names.
+// Tests of the settings and features parsers: which files are accepted, and which field an error
+// names.
 
 #include "base/settings.hpp"
 
@@ -11,18 +12,19 @@
 
 using namespace asterstair;
 
-// What is wrong with the text; empty if it is accepted.
+// Returns the error for the text; empty if the text is accepted.
 template <typename Parse>
 std::string error_of(Parse parse, const std::string& text) {
   try {
     parse(text);
-  } catch (const SettingsError& e) {
-    return e.what();
+  } catch (const SettingsError& error) {
+    return error.what();
   }
   return "";
 }
 
-// What is wrong with valid settings once `from` is replaced by `to` in them.
+// Returns the error for valid settings in which `from` is replaced by `to`; empty if they are
+// accepted.
 std::string settings_error(const std::string& from, const std::string& to) {
   auto text = sim::settings_text(0);
   const auto at = text.find(from);
@@ -42,62 +44,64 @@
   EXPECT_NE(settings_error("count = 3", "count = = 3").find("line"), std::string::npos);
 }
 
-TEST(Settings, RefuseALeaseThatOutlivesCancellations) {
+TEST(Settings, RejectALeaseThatOutlivesTheCancellationDeadline) {
   EXPECT_NE(settings_error("cancel_s = 40.0", "cancel_s = 12.0").find("cancel_s"),
             std::string::npos);
-  const auto s = parse_settings(sim::settings_text(0));
-  EXPECT_LT(leader_ttl(s) + s.lease, s.cancel_within);
+  const auto settings = parse_settings(sim::settings_text(0));
+  EXPECT_LT(leader_ttl(settings) + settings.lease, settings.cancel_within);
 }
 
-// The inequality of docs/design.md, "Why cancelled tasks end in time", holds for every file that is
-// accepted. A file for which it cannot hold is refused, and the field is named.
+// Every accepted file satisfies the inequality in docs/design.md, "Why cancelled tasks end in
+// time". A file that cannot satisfy it is rejected with an error that names the field.
 TEST(Settings, AreAcceptedOnlyIfCancelledTasksEndInTime) {
   const auto drifted = [](Duration d) {
     return to_duration(Seconds(seconds(d) * (1 + kClockDrift)));
   };
-  std::size_t taken = 0, refused = 0;
+  std::size_t accepted = 0, rejected = 0;
   for (const double report : {1.0, 2.0, 3.0, 5.0}) {
     for (const double lease : {5.0, 10.0, 20.0, 26.5, 60.0}) {
-      for (const double more : {0.0, 1.0, 3.9, 4.0, 5.2, 7.0, 7.2, 20.0, 30.0, 600.0}) {
-        const sim::Timing t{.report_s = report, .lease_s = lease, .cancel_s = lease + more};
+      for (const double margin : {0.0, 1.0, 3.9, 4.0, 5.2, 7.0, 7.2, 20.0, 30.0, 600.0}) {
+        const sim::Timing timing{.report_s = report, .lease_s = lease, .cancel_s = lease + margin};
         try {
-          const auto s = parse_settings(sim::settings_text(0, 3, t));
-          ++taken;
-          EXPECT_LE(drifted(max_view_staleness(s)) + drifted(s.lease) + 500ms, s.cancel_within)
-              << report << " " << lease << " " << more;
-          EXPECT_LE(leader_ttl(s), max_view_staleness(s));
-          EXPECT_GE(max_view_staleness(s), 2s);
-        } catch (const SettingsError& e) {
-          ++refused;
-          EXPECT_NE(std::string(e.what()).find("cancel_s"), std::string::npos) << e.what();
-          EXPECT_LT(more, std::max(2.0, report) + 2.2) << "refused though it could hold";
+          const auto settings = parse_settings(sim::settings_text(0, 3, timing));
+          ++accepted;
+          EXPECT_LE(drifted(max_view_staleness(settings)) + drifted(settings.lease) + 500ms,
+                    settings.cancel_within)
+              << report << " " << lease << " " << margin;
+          EXPECT_LE(leader_ttl(settings), max_view_staleness(settings));
+          EXPECT_GE(max_view_staleness(settings), 2s);
+        } catch (const SettingsError& error) {
+          ++rejected;
+          EXPECT_NE(std::string(error.what()).find("cancel_s"), std::string::npos) << error.what();
+          EXPECT_LT(margin, std::max(2.0, report) + 2.2)
+              << "rejected although the inequality can hold";
         }
       }
     }
   }
-  EXPECT_GT(taken, 40U);
-  EXPECT_GT(refused, 40U);
+  EXPECT_GT(accepted, 40U);
+  EXPECT_GT(rejected, 40U);
 }
 
-TEST(Settings, RefuseNonFiniteAndHugeNumbers) {
+TEST(Settings, RejectNonFiniteAndHugeNumbers) {
   EXPECT_NE(settings_error("lease_s = 10.0", "lease_s = inf").find("lease_s"), std::string::npos);
   EXPECT_NE(settings_error("lease_s = 10.0", "lease_s = nan").find("lease_s"), std::string::npos);
   EXPECT_NE(settings_error("value_kb = 8.0", "value_kb = 1e300").find("value_kb"),
             std::string::npos);
 }
 
-// An unreachable leader is replaced while the workers still hold their leases, where these are long
-// enough: a worker needs a timeout of 4 s and a round of the nodes to find the next leader.
-TEST(Settings, EndTheLeadersGrantWellBeforeLongLeases) {
+// If the worker leases are long enough, an unreachable leader must be replaced before they expire.
+// A worker needs a timeout of 4 s and one round of requests to the nodes to find the next leader.
+TEST(Settings, ExpireTheLeaderLeaseWellBeforeLongWorkerLeases) {
   auto text = sim::settings_text(0);
   const auto lease = [&](const char* to) {
     auto changed = text;
     changed.replace(changed.find("lease_s = 10.0"), 14, to);
     return parse_settings(changed);
   };
-  const auto s = lease("lease_s = 20.0");
-  EXPECT_LE(leader_ttl(s) + 6s, s.lease);
-  EXPECT_GE(leader_ttl(s), 10s);
+  const auto settings = lease("lease_s = 20.0");
+  EXPECT_LE(leader_ttl(settings) + 6s, settings.lease);
+  EXPECT_GE(leader_ttl(settings), 10s);
   const auto longer = lease("lease_s = 26.5");
   EXPECT_LE(leader_ttl(longer) + 6s, longer.lease);
 }
