--- a/src/autoscale/desired_machines.cpp
+++ b/src/autoscale/desired_machines.cpp
@@ -102,7 +102,7 @@
   // Whether the job may use the type. Accelerators are reserved for jobs that need them, unless the
   // backlog of job arrays without accelerators is long.
   bool is_candidate(const JobSpec& job, const MachineType& type) const {
-    if (!job.allows_type(type.name) || type.fits(job) == 0) return false;
+    if (!job.allows_type(type.name) || type.max_tasks(job) == 0) return false;
     if (job.gpus > 0 || type.gpus <= 0) return true;
     return !job.gang() && market_.backlog >= type.boot * kMinBacklogBoots;
   }
