--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -1,4 +1,5 @@
-// The rule checker of the simulations reports what breaks a rule.
+// Guards against a rule checker that overlooks violations, since all simulations rely on it. Each
+// test injects one violation, mostly by altering messages, and expects the checker to report it.
 
 #include <gtest/gtest.h>
 
@@ -11,27 +12,27 @@
 
 TEST(RuleChecker, ReportsATaskThatRunsTwice) {
   Scenario scenario(11);
-  // A start command is copied into the next answer to another worker.
-  Json stolen;
-  std::string from;
-  bool done = false;
+  // Copies a start command into the response to a heartbeat of another worker.
+  Json copied_command;
+  std::string original_host;
+  bool injected = false;
   scenario.network.alter_response = [&](const std::string&, const HttpRequest& request,
                                         HttpResponse& response) {
-    if (done || !is_accepted_heartbeat(request, response)) return;
+    if (injected || !is_accepted_heartbeat(request, response)) return;
     auto out = Json::parse(response.body);
     const auto host = Json::parse(request.body)["host"].get<std::string>();
-    // A machine with tasks of its own would refuse it for lack of room.
+    // A machine that runs a task would reject the command for lack of room.
     const bool empty = Json::parse(request.body)["pieces"].empty() && out["orders"].empty();
-    if (!stolen.is_null() && host != from && empty) {
-      out["orders"].push_back(stolen);
+    if (!copied_command.is_null() && host != original_host && empty) {
+      out["orders"].push_back(copied_command);
       response.body = out.dump();
-      done = true;
+      injected = true;
       return;
     }
     for (const auto& command : out["orders"]) {
       if (command["verb"] != "run") continue;
-      stolen = command;
-      from = host;
+      copied_command = command;
+      original_host = host;
     }
   };
   for (int i = 0; i < 6; ++i) {
@@ -44,37 +45,39 @@
     scenario.users.submit(job);
   }
   scenario.run_until(200);
-  EXPECT_TRUE(scenario.checker.violated("ran_twice")) << scenario.checker.report();
+  EXPECT_TRUE(scenario.checker.violated("duplicate_execution")) << scenario.checker.report();
 }
 
+// A running job is reported to its user as done.
 TEST(RuleChecker, ReportsDoneBeforeCompletion) {
   Scenario scenario(12);
-  bool done = false;
+  bool injected = false;
   scenario.network.alter_response = [&](const std::string&, const HttpRequest& request,
                                         HttpResponse& response) {
-    if (done || request.method != "GET" || request.target.rfind("/v2/runs/", 0) != 0 ||
+    if (injected || request.method != "GET" || request.target.rfind("/v2/runs/", 0) != 0 ||
         response.status != 200)
       return;
     auto out = Json::parse(response.body);
     if (out["stage"] != "running") return;
     out["stage"] = "done";
     response.body = out.dump();
-    done = true;
+    injected = true;
   };
   run_randomized(scenario, {"tampered"}, 200);
-  EXPECT_TRUE(scenario.checker.violated("not_done")) << scenario.checker.report();
+  EXPECT_TRUE(scenario.checker.violated("done_before_completion")) << scenario.checker.report();
 }
 
-void submit_and_cancel(Scenario& scenario, double run_s, Duration when) {
+void submit_and_cancel(Scenario& scenario, double run_s, Duration delay) {
   Submission job;
   job.requirements.team = "blue";
   job.workload.cpus = 1;
   job.workload.run_s = run_s;
   job.workload.image = "img";
   const auto id = scenario.users.submit(job);
-  scenario.simulator.schedule(when, [&scenario, id] { scenario.users.cancel(id); });
+  scenario.simulator.schedule(delay, [&scenario, id] { scenario.users.cancel(id); });
 }
 
+// No stop command reaches a worker.
 TEST(RuleChecker, ReportsACancelledTaskLeftRunning) {
   Scenario scenario(13);
   scenario.network.alter_response = [](const std::string&, const HttpRequest& request,
@@ -85,10 +88,11 @@
   drop_direct_commands(scenario.network);
   submit_and_cancel(scenario, 200, 40s);
   scenario.run_until(150);
-  EXPECT_TRUE(scenario.checker.violated("ran_cancelled")) << scenario.checker.report();
+  EXPECT_TRUE(scenario.checker.violated("ran_after_cancellation")) << scenario.checker.report();
 }
 
-TEST(RuleChecker, ReportsAForgottenJob) {
+// Queries of accepted jobs are answered 404.
+TEST(RuleChecker, ReportsALostJob) {
   Scenario scenario(14);
   scenario.network.alter_response = [](const std::string&, const HttpRequest& request,
                                        HttpResponse& response) {
@@ -97,9 +101,10 @@
       response.status = 404;
   };
   run_randomized(scenario, {"tampered"}, 60);
-  EXPECT_TRUE(scenario.checker.violated("forgotten")) << scenario.checker.report();
+  EXPECT_TRUE(scenario.checker.violated("job_lost")) << scenario.checker.report();
 }
 
+// A cancelled job is reported as queued to later queries.
 TEST(RuleChecker, ReportsACancelledJobQueuedAgain) {
   Scenario scenario(15);
   scenario.network.alter_response = [&](const std::string&, const HttpRequest& request,
@@ -112,18 +117,21 @@
   };
   submit_and_cancel(scenario, 100, 10s);
   scenario.run_until(60);
-  EXPECT_TRUE(scenario.checker.violated("went_back")) << scenario.checker.report();
+  EXPECT_TRUE(scenario.checker.violated("invalid_stage_change")) << scenario.checker.report();
 }
 
+// The checker takes the job for invalid, but it is accepted.
 TEST(RuleChecker, ReportsAnAcceptedInvalidJob) {
   Scenario scenario(58);
   scenario.run_until(10);
-  scenario.users.submit_invalid(array_job(1, 5), [](Json&) {});  // valid, so it is accepted
+  scenario.users.submit_invalid(array_job(1, 5),
+                                [](Json&) {});  // left valid, so that it is accepted
   scenario.run_until(20);
-  EXPECT_TRUE(scenario.checker.violated("unsound")) << scenario.checker.report();
+  EXPECT_TRUE(scenario.checker.violated("invalid_job_accepted")) << scenario.checker.report();
 }
 
-TEST(RuleChecker, ReportsAJobThatWaitsBesideRoom) {
+// The start commands of a job are removed although there is room for it.
+TEST(RuleChecker, ReportsAStarvedJob) {
   Scenario scenario(59);
   scenario.users.submit(array_job(2, 400));
   scenario.run_until(30);
@@ -137,9 +145,10 @@
   };
   starved = scenario.users.submit(array_job(1, 5));
   scenario.run_until(180);
-  EXPECT_TRUE(scenario.checker.violated("waits")) << scenario.checker.report();
+  EXPECT_TRUE(scenario.checker.violated("starvation")) << scenario.checker.report();
 }
 
+// A worker receives a start command for a job whose cancellation is confirmed.
 TEST(RuleChecker, CountsStartsAfterACancellation) {
   Scenario scenario(60);
   const auto id = scenario.users.submit(array_job(1, 400));
@@ -159,6 +168,7 @@
   EXPECT_EQ(scenario.checker.starts_after_cancel, 1U);
 }
 
+// All queries of an accepted job are answered 503.
 TEST(RuleChecker, ReportsUnansweredQueries) {
   Scenario scenario(25);
   const auto id = scenario.users.submit(array_job(1, 400));
@@ -169,7 +179,7 @@
     if (request.method == "GET" && request.target == "/v2/runs/" + id) response.status = 503;
   };
   scenario.run_until(150);
-  EXPECT_TRUE(scenario.checker.violated("forgotten")) << scenario.checker.report();
+  EXPECT_TRUE(scenario.checker.violated("job_lost")) << scenario.checker.report();
 }
 
 TEST(RuleChecker, ReportsAnUnservedClass) {
@@ -190,7 +200,7 @@
   }
   scenario.run_until(400);
   scenario.checker.check_service([](const std::string&) { return true; });
-  EXPECT_TRUE(scenario.checker.violated("served")) << scenario.checker.report();
+  EXPECT_TRUE(scenario.checker.violated("underserved")) << scenario.checker.report();
 }
 
 }  // namespace
--- a/tests/sim/allocations.cpp
+++ b/tests/sim/allocations.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-sim::Allocations counted;
+sim::Allocations totals;
 
 void* allocate(std::size_t size) {
   void* out = std::malloc(size == 0 ? 1 : size);
   if (out == nullptr) throw std::bad_alloc();
-  ++counted.count;
-  counted.bytes += size;
-  counted.held += static_cast<std::int64_t>(malloc_usable_size(out));
+  ++totals.count;
+  totals.bytes += size;
+  totals.held += static_cast<std::int64_t>(malloc_usable_size(out));
   return out;
 }
 
 void release(void* pointer) noexcept {
   if (pointer == nullptr) return;
-  counted.held -= static_cast<std::int64_t>(malloc_usable_size(pointer));
+  totals.held -= static_cast<std::int64_t>(malloc_usable_size(pointer));
   std::free(pointer);
 }
 
@@ -28,7 +28,7 @@
 
 namespace sim {
 
-Allocations allocations() { return counted; }
+Allocations allocations() { return totals; }
 
 }  // namespace sim
 
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-constexpr std::size_t kPageLimit = 500;
-constexpr double kBootTime = 8;
+constexpr std::size_t kMaxPageSize = 500;  // machines
+constexpr double kBootTimeS = 8;
 
-/// The machines after the one that the target names, no more than it asks for.
+/// One page of the list: the machines after the target's `since`, at most `limit` of them.
 Json page_of(const Json& list, const std::string& target) {
   const auto since = query_parameter(target, "since"), limit = query_parameter(target, "limit");
-  const std::size_t most =
-      limit.empty() ? kPageLimit : std::min<std::size_t>(kPageLimit, std::stoul(limit));
+  const std::size_t max_size =
+      limit.empty() ? kMaxPageSize : std::min<std::size_t>(kMaxPageSize, std::stoul(limit));
   Json hosts = Json::array();
   for (const auto& host : list) {
     if (host["ref"].get_ref<const std::string&>() <= since) continue;
-    if (hosts.size() == most) return {{"hosts", hosts}, {"hasNext", true}};
+    if (hosts.size() == max_size) return {{"hosts", hosts}, {"hasNext", true}};
     hosts.push_back(host);
   }
   return {{"hosts", hosts}, {"hasNext", false}};
@@ -36,7 +36,7 @@
           {"pullGbPerS", shape.gb_per_s},
           {"price", shape.cpus / 10},
           {"marketPrice", shape.cpus / 30},
-          {"readyS", kBootTime},
+          {"readyS", kBootTimeS},
           {"yards", Json::array()}};
 }
 
@@ -130,7 +130,8 @@
   return list;
 }
 
-/// The list as it was list_lag_s ago, or at the first request since.
+/// The list as it was list_lag_s ago. The list is recorded at each request only, so the result is
+/// the last one recorded before that time, or the oldest recorded one.
 Json Cloud::lagging_list() {
   const double now = environment_.simulator.elapsed();
   history_.emplace_back(now, machine_list());
@@ -140,8 +141,8 @@
   return history_.front().second;
 }
 
-/// Whether the request's fencing token is not stale, or the cloud does not mind. Answers 409 if
-/// not.
+/// Whether the request may be served: its fencing token is not stale, or the cloud does not check
+/// tokens. Responds with 409 if not.
 bool Cloud::token_accepted(const Json& body, const Respond& respond) {
   const auto token = body.value("baton", std::uint64_t{0});
   if (token >= requests.highest_token) {
@@ -156,15 +157,15 @@
 }
 
 void Cloud::return_machine(const std::string& id, const std::string& operation) {
-  const auto [by, first] = requests.returned_by.emplace(id, operation);
-  if (!first && by->second != operation) ++requests.double_returns;
+  const auto [returned, first] = requests.returned_by.emplace(id, operation);
+  if (!first && returned->second != operation) ++requests.double_returns;
   const auto it = machines_.find(id);
   if (it == machines_.end()) return;
   if (it->second.worker && it->second.worker->has_live_tasks()) ++requests.returned_with_work;
   reclaim(id);
 }
 
-/// The pool that the rental asks for; pools_.size() if there is none.
+/// The index of the pool that the rental requests; pools_.size() if no pool matches.
 std::size_t Cloud::pool_of(const Json& body) const {
   const auto it = std::find_if(pools_.begin(), pools_.end(), [&](const MachinePool& pool) {
     return pool.shape.type == body["flavor"] && pool.zone == body["yard"] &&
@@ -193,16 +194,16 @@
     respond({503, R"({"error":"no capacity"})"});
     return;
   }
-  const auto wanted = std::min(body["howMany"].get<std::size_t>(), rental_limit);
+  const auto requested = std::min(body["howMany"].get<std::size_t>(), rental_limit);
   Json hosts = Json::array();
-  for (std::size_t n = 0; n < wanted && used + n < pools_[pool].count; ++n) {
+  for (std::size_t n = 0; n < requested && used + n < pools_[pool].count; ++n) {
     hosts.push_back(add_machine(pool));
   }
   rentals_[operation] = {{"hosts", hosts}};
   respond({200, rentals_[operation].dump()});
 }
 
-/// Adds a machine to the rented ones, which boots after some seconds or never.
+/// Rents out a new machine. It boots after some seconds, or never, at boot_failure_rate.
 std::string Cloud::add_machine(std::size_t pool) {
   auto& simulator = environment_.simulator;
   char buffer[16];
@@ -212,7 +213,7 @@
                    nullptr};
   ++requests.rented;
   if (!simulator.chance(boot_failure_rate)) {
-    simulator.schedule(Seconds(kBootTime * simulator.uniform(0.6, 1.5)), [this, id] { boot(id); });
+    simulator.schedule(Seconds(kBootTimeS * simulator.uniform(0.6, 1.5)), [this, id] { boot(id); });
   }
   return id;
 }
--- a/tests/sim/cloud.hpp
+++ b/tests/sim/cloud.hpp
@@ -24,40 +24,44 @@
   std::size_t count;
 };
 
-/// What the cloud has seen of rentals and returns, for checks of who requests them.
+/// Counts of the rental and return requests that the cloud has received. Tests check them for stale
+/// fencing tokens, repeated requests and returns of machines in use.
 struct CloudRequestLog {
-  std::uint64_t highest_token = 0;
-  std::size_t stale = 0;     ///< requests with a lower token than one seen before
-  std::size_t rejected = 0;  ///< of these, by a cloud that checks the token
-  std::size_t rented = 0;    ///< machines
+  std::uint64_t highest_token = 0;  ///< highest fencing token received
+  std::size_t stale = 0;            ///< requests with a lower token than highest_token
+  std::size_t rejected = 0;         ///< stale requests that were answered 409
+  std::size_t rented = 0;           ///< machines
+  /// Returns of one machine by a second operation, and machines returned while they had live tasks.
   std::size_t double_returns = 0, returned_with_work = 0;
   std::map<std::string, std::string> returned_by;  ///< operation by machine
   std::map<std::string, std::size_t> rentals;      ///< number of requests by operation
 };
 
-/// Simulated cloud, written from PROTOCOL: machine types, rentals by idempotent requests, returns,
-/// and a list of machines that lags. It listens on host "cloud" and boots the machines' workers.
+/// Simulated cloud that follows PROTOCOL: machine types, idempotent rental requests, returns, and a
+/// stale list of machines. It listens on host "cloud" and starts the workers of booted machines.
 class Cloud {
  public:
+  /// Listens on `address`.
   Cloud(const Environment& environment, const std::string& address, std::vector<MachinePool> pools);
 
   /// The workers of all machines that have booted.
   std::vector<std::shared_ptr<Worker>> running_workers() const;
   /// A running worker at random; null if there is none.
   std::shared_ptr<Worker> random_worker() const;
-  /// The epochs, by machine, of the running workers on which tasks use processors.
+  /// The epochs of the running workers whose tasks use CPUs, by machine.
   std::map<std::string, std::uint32_t> epochs_of_busy_workers() const;
-  /// Takes a machine away, as spot machines are reclaimed and machines fail.
+  /// Terminates a machine and removes it, as on a spot reclaim or a machine failure.
   void reclaim(const std::string& id);
+  /// The number of machines that are rented, booted or not.
   std::size_t rented_count() const { return machines_.size(); }
 
-  bool outage = false;                ///< everything is answered 503
+  bool outage = false;                ///< every request is answered 503
   bool checks_tokens = false;         ///< rejects requests with a stale fencing token
-  std::size_t capacity_refusals = 0;  ///< so many further rentals are refused
-  std::size_t rental_limit = 50;      ///< machines that one rental brings at the most
+  std::size_t capacity_refusals = 0;  ///< number of further rentals that are refused
+  std::size_t rental_limit = 50;      ///< maximum number of machines per rental
   double list_lag_s = 5;              ///< age of the list of machines
-  double boot_failure_rate = 0;       ///< share of machines that never boot
-  CloudRequestLog requests;
+  double boot_failure_rate = 0;       ///< fraction of machines that never boot
+  CloudRequestLog requests;           ///< counts of requests received
 
  private:
   struct Machine {
@@ -83,8 +87,8 @@
   std::vector<MachinePool> pools_;
   unsigned last_machine_ = 0;
   std::map<std::string, Machine> machines_;
-  std::map<std::string, Json> rentals_;           // answer by operation
-  std::vector<std::pair<double, Json>> history_;  // lists of machines by time
+  std::map<std::string, Json> rentals_;           // response body by operation
+  std::vector<std::pair<double, Json>> history_;  // recorded machine lists and their times
 };
 
 }  // namespace sim
--- a/tests/sim/environment.hpp
+++ b/tests/sim/environment.hpp
@@ -11,12 +11,12 @@
 
 namespace sim {
 
-/// The controller nodes, by index.
+/// Addresses and names of the controller nodes, by index.
 struct NodeList {
   std::vector<std::string> addresses, names;
 };
 
-/// What surrounds a simulated worker.
+/// The simulated services and shared state that the cloud and its workers use.
 struct Environment {
   Simulator& simulator;
   Network& network;
--- a/tests/sim/fault_injection.cpp
+++ b/tests/sim/fault_injection.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Schedules the action again and again until `length`, on average every `interval` seconds.
+/// Schedules the action repeatedly until `length`, on average every `interval` seconds.
 void repeat(Scenario& scenario, double length, double interval,
             const std::function<void()>& action) {
   auto& simulator = scenario.simulator;
@@ -21,7 +21,7 @@
   }
 }
 
-/// The leader with the given probability, if there is one; else a node at random.
+/// The leader, if there is one, with the given probability; otherwise a random node.
 int leader_or_random_node(Scenario& scenario, double leader_probability) {
   const int leader = scenario.leader();
   return leader >= 0 && scenario.simulator.chance(leader_probability) ? leader
@@ -67,7 +67,7 @@
     if (simulator.chance(0.5)) {
       scenario.crash(scenario.random_node(), simulator.uniform(0.02, 0.7));
     }
-    // Once more, in the middle of what the first crash set off.
+    // A second crash during the recovery from the first.
     simulator.schedule(Seconds(simulator.uniform(0.02, 1.5)), [&scenario, &simulator] {
       scenario.crash(scenario.random_node(), simulator.uniform(0.02, 0.3));
     });
@@ -86,10 +86,10 @@
   repeat(scenario, length, 90, [&scenario] {
     auto& simulator = scenario.simulator;
     const double lease = scenario.timing.lease_s;
-    const int first_back = scenario.random_node();
+    const int first_restarted = scenario.random_node();
     for (int i = 0; i < scenario.node_count(); ++i) {
-      const bool soon = i == first_back && simulator.chance(0.4);
-      scenario.crash(i, soon ? 0.3 : lease + simulator.uniform(0, 10));
+      const bool restarts_early = i == first_restarted && simulator.chance(0.4);
+      scenario.crash(i, restarts_early ? 0.3 : lease + simulator.uniform(0, 10));
     }
   });
 }
@@ -241,12 +241,12 @@
 
 // Users.
 
-/// Cancels some of the jobs that are running, `most` at the most.
-void cancel_running_jobs(Scenario& scenario, std::size_t most) {
+/// Cancels a random selection of the running jobs, at most `max_jobs` of them.
+void cancel_running_jobs(Scenario& scenario, std::size_t max_jobs) {
   auto& simulator = scenario.simulator;
   std::size_t cancelled = 0;
   for (const auto& [id, job] : scenario.users.submissions()) {
-    if (cancelled >= most) break;
+    if (cancelled >= max_jobs) break;
     if (scenario.checker.tasks_present(id) == 0 || scenario.checker.is_final(id) ||
         simulator.chance(0.4)) {
       continue;
@@ -280,8 +280,8 @@
   };
 }
 
-/// Makes a submission one that must not be accepted, in one of seven ways.
-void spoil(Simulator& simulator, Json& body) {
+/// Makes a submission invalid in one of seven ways, so that it must be rejected.
+void make_invalid(Simulator& simulator, Json& body) {
   switch (static_cast<int>(simulator.uniform(0, 6.999))) {
     case 0: {
       constexpr std::array kRequired{"accelerators", "together", "scatter", "loaner", "stashS",
@@ -312,7 +312,7 @@
   }
 }
 
-void resubmit_oddly(Scenario& scenario) {
+void resubmit_modified(Scenario& scenario) {
   auto& simulator = scenario.simulator;
   for (const auto& [id, job] : scenario.users.submissions()) {
     if (!simulator.chance(0.05)) continue;
@@ -327,33 +327,34 @@
 void send_invalid_requests(Scenario& scenario, double length) {
   repeat(scenario, length, 3, [&scenario] {
     auto& simulator = scenario.simulator;
-    resubmit_oddly(scenario);
+    resubmit_modified(scenario);
     scenario.users.submit_invalid(random_job(simulator),
-                                  [&simulator](Json& body) { spoil(simulator, body); });
+                                  [&simulator](Json& body) { make_invalid(simulator, body); });
   });
 }
 
 // Compound faults.
 
-/// Refuses the leader alone, cancels jobs, then interrupts the state service for all for longer
-/// than a cancellation may take. Now and then the leader crashes too.
+/// The state service answers 503 to the leader only while jobs are cancelled. Then it has an outage
+/// for all nodes that exceeds the cancellation deadline. In some cases the leader also crashes.
 void refuse_leader_then_interrupt_store(Scenario& scenario) {
   auto& simulator = scenario.simulator;
   const int leader = scenario.leader();
   if (leader < 0) return;
   const auto name = scenario.node_name(leader);
-  const double alone = simulator.uniform(0.5, 12);
+  const double refused_s = simulator.uniform(0.5, 12);  // before the outage
   scenario.network.set_unavailable(name, "state", true);
   cancel_running_jobs(scenario, 8);
-  simulator.schedule(Seconds(simulator.uniform(0.2, alone)),
+  simulator.schedule(Seconds(simulator.uniform(0.2, refused_s)),
                      [&scenario] { cancel_running_jobs(scenario, 8); });
-  simulator.schedule(Seconds(alone), [&scenario] { scenario.store.set_outage(true); });
-  simulator.schedule(Seconds(alone + scenario.timing.cancel_s + 10), [&scenario, name] {
+  simulator.schedule(Seconds(refused_s), [&scenario] { scenario.store.set_outage(true); });
+  simulator.schedule(Seconds(refused_s + scenario.timing.cancel_s + 10), [&scenario, name] {
     scenario.network.set_unavailable(name, "state", false);
     scenario.store.set_outage(false);
   });
   if (simulator.chance(0.3)) {
-    simulator.schedule(Seconds(alone + 3), [&scenario, leader] { scenario.crash(leader, 0.3); });
+    simulator.schedule(Seconds(refused_s + 3),
+                       [&scenario, leader] { scenario.crash(leader, 0.3); });
   }
 }
 
@@ -366,7 +367,7 @@
 
 }  // namespace
 
-// The order is part of each seed's run.
+// The order of the calls must not change: each draws from the seed's sequence of random numbers.
 void run_randomized(Scenario& scenario, const FaultMix& faults, double length) {
   auto& network = scenario.network;
   submit_random_jobs(scenario, length, faults.submission_burst ? 2.5 : 4.0);
--- a/tests/sim/fault_injection.hpp
+++ b/tests/sim/fault_injection.hpp
@@ -5,11 +5,12 @@
 
 namespace sim {
 
-/// Submits random jobs and injects the faults, then runs the simulation until `length` seconds.
-/// Faults that are under way then end later, in time. Everything follows from the scenario's seed.
+/// Schedules random submissions and the faults, then runs the simulation until `length` seconds.
+/// Faults that are active at that time last until their scheduled ends. The scenario's seed
+/// determines the whole run.
 void run_randomized(Scenario& scenario, const FaultMix& faults, double length);
 
-/// Ends all faults that last, except crashes and hangs, which end by themselves.
+/// Ends all active faults except crashes and hangs, which end as scheduled.
 void end_all_faults(Scenario& scenario);
 
 }  // namespace sim
--- a/tests/sim/json.hpp
+++ b/tests/sim/json.hpp
@@ -4,7 +4,8 @@
 
 namespace sim {
 
-/// The stand-ins speak the wire protocol by themselves and share no codec with the library.
+/// The simulated services encode and decode the wire protocol themselves. They share no codec with
+/// the library, so that an error in its codecs shows up in the tests.
 using Json = nlohmann::json;
 
 }  // namespace sim
--- a/tests/sim/key_value_store.cpp
+++ b/tests/sim/key_value_store.cpp
@@ -15,7 +15,7 @@
 void KeyValueStore::set_outage(bool on) {
   outage_ = on;
   if (on) return;
-  for (auto& [id, lease] : leases_) lease.ends = simulator_.now() + lease.ttl;
+  for (auto& [id, lease] : leases_) lease.expires_at = simulator_.now() + lease.ttl;
 }
 
 void KeyValueStore::overwrite(const Key& key, const Json& value) {
@@ -90,7 +90,7 @@
     respond({409, Json{{"failed", failed}, {"ledger", revision_}}.dump()});
     return;
   }
-  if (names_unknown_lease(operations)) {
+  if (refers_to_unknown_lease(operations)) {
     respond({400, R"({"error":"no such lease"})"});
     return;
   }
@@ -110,7 +110,7 @@
   return failed;
 }
 
-bool KeyValueStore::names_unknown_lease(const Json& operations) const {
+bool KeyValueStore::refers_to_unknown_lease(const Json& operations) const {
   for (const auto& operation : operations) {
     if (operation.contains("put") && operation.contains("hold") &&
         leases_.count(operation["hold"].get<std::uint64_t>()) == 0) {
@@ -154,7 +154,7 @@
   if (request.method == "DELETE") {
     revoke_lease(id);
   } else {
-    it->second.ends = simulator_.now() + it->second.ttl;
+    it->second.expires_at = simulator_.now() + it->second.ttl;
   }
   respond({200, "{}"});
 }
@@ -175,7 +175,7 @@
   if (outage_) return;
   std::vector<std::uint64_t> expired;
   for (const auto& [id, lease] : leases_) {
-    if (lease.ends <= simulator_.now()) expired.push_back(id);
+    if (lease.expires_at <= simulator_.now()) expired.push_back(id);
   }
   for (const auto id : expired) revoke_lease(id);
   notify_watches();
@@ -199,27 +199,27 @@
 }
 
 Json KeyValueStore::changes_for(const Watch& watch) const {
-  Json news = Json::array();
+  Json changes = Json::array();
   for (const auto& change : changes_) {
     if (change.revision <= watch.since || !change.key.starts_with(watch.prefix)) continue;
     if (change.value.is_null()) {
-      news.push_back({{"drop", change.key}, {"stamp", change.revision}});
+      changes.push_back({{"drop", change.key}, {"stamp", change.revision}});
     } else {
-      news.push_back({{"put", change.key}, {"value", change.value}, {"stamp", change.revision}});
+      changes.push_back({{"put", change.key}, {"value", change.value}, {"stamp", change.revision}});
     }
   }
-  return news;
+  return changes;
 }
 
 void KeyValueStore::notify_watches() {
   if (outage_) return;
   for (auto it = watches_.begin(); it != watches_.end();) {
-    const Json news = changes_for(*it);
-    if (news.empty() && it->ends > simulator_.now()) {
+    const Json changes = changes_for(*it);
+    if (changes.empty() && it->expires_at > simulator_.now()) {
       ++it;
       continue;
     }
-    it->respond({200, Json{{"ledger", revision_}, {"news", news}}.dump()});
+    it->respond({200, Json{{"ledger", revision_}, {"news", changes}}.dump()});
     it = watches_.erase(it);
   }
 }
--- a/tests/sim/key_value_store.hpp
+++ b/tests/sim/key_value_store.hpp
@@ -13,33 +13,35 @@
 
 namespace sim {
 
-/// Simulated consensus-backed key-value store, written from PROTOCOL: versioned keys, conditional
+/// Simulated consensus-backed key-value store that follows PROTOCOL: versioned keys, conditional
 /// transactions, time-to-live leases ("grants") and watches. It listens on host "state".
 class KeyValueStore {
  public:
+  /// Name of a record.
   using Key = std::string;
   /// Value and version by key.
   using Records = std::map<Key, std::pair<Json, std::uint64_t>>;
 
+  /// Listens on `address`.
   KeyValueStore(Simulator& simulator, Network& network, const std::string& address);
 
-  /// Begins or ends an outage: everything is answered 503 and watches stay silent. Afterwards each
-  /// lease lasts for its full time again.
+  /// Begins or ends an outage. During it, all requests but watches are answered 503, and watches
+  /// get no response. At its end each lease is renewed for its full time to live.
   void set_outage(bool on);
-  /// All keys as they are now.
+  /// The current records.
   const Records& records() const { return records_; }
-  /// Writes a key without any condition, as an operator or a fault may.
+  /// Writes a key unconditionally, as an operator or a fault would.
   void overwrite(const Key& key, const Json& value);
 
-  std::uint64_t writes = 0;           ///< operations in transactions, also in refused ones
-  std::uint64_t watches_opened = 0;   ///< requests to watch
-  std::uint64_t bytes_written = 0;    ///< bodies of transactions
-  std::size_t history_limit = 10000;  ///< changes kept; a watch from before them gets 410
+  std::uint64_t writes = 0;           ///< operations in all transactions, failed ones included
+  std::uint64_t watches_opened = 0;   ///< watch requests received
+  std::uint64_t bytes_written = 0;    ///< total size of transaction bodies
+  std::size_t history_limit = 10000;  ///< changes kept; a watch since an earlier revision gets 410
 
  private:
   struct Lease {
     Duration ttl{};
-    TimePoint ends{};
+    TimePoint expires_at{};
   };
   struct Change {
     std::uint64_t revision;
@@ -49,7 +51,7 @@
   struct Watch {
     std::string prefix;
     std::uint64_t since;
-    TimePoint ends;
+    TimePoint expires_at;
     Respond respond;
   };
 
@@ -59,7 +61,7 @@
   void list(const HttpRequest& request, const Respond& respond) const;
   void commit(const Json& transaction, const Respond& respond);
   Json failed_conditions(const Json& conditions) const;
-  bool names_unknown_lease(const Json& operations) const;
+  bool refers_to_unknown_lease(const Json& operations) const;
   void apply(const Json& operation);
   void remove(const Key& key);
   void create_lease(const HttpRequest& request, const Respond& respond);
--- a/tests/sim/machine.hpp
+++ b/tests/sim/machine.hpp
@@ -4,13 +4,13 @@
 
 namespace sim {
 
-/// What a machine is, as its placement constraints see it.
+/// The attributes of a machine that placement constraints refer to.
 struct MachineTraits {
   std::string machine, type, zone;
   bool spot = false;
 };
 
-/// A machine type's resources, or what is left of them.
+/// The resources of a machine type, or the free part of them.
 struct MachineShape {
   std::string type;
   double cpus, gpus, memory_gb, gb_per_s;
@@ -23,7 +23,7 @@
   bool spot;
 };
 
-/// What a machine has left for further tasks.
+/// The resources of a machine that are free for further tasks.
 struct FreeCapacity {
   MachineTraits machine;
   double cpus = 0, gpus = 0, memory_gb = 0;
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// Passes on the first response only.
-Respond first_of(Respond done) {
+/// Wraps the callback so that only the first response reaches it.
+Respond respond_once(Respond done) {
   struct State {
-    bool over = false;
+    bool responded = false;
     Respond done;
   };
   auto state = std::make_shared<State>();
   state->done = std::move(done);
   return [state](HttpResponse response) {
-    if (state->over) return;
-    state->over = true;
+    if (state->responded) return;
+    state->responded = true;
     const auto done = std::move(state->done);
     state->done = nullptr;
     done(std::move(response));
@@ -86,7 +86,7 @@
 void Network::http(const std::string& from, const std::string& address, HttpRequest request,
                    Duration timeout, Respond done) {
   if (on_request) on_request(from, address, request);
-  const auto finish = first_of(std::move(done));
+  const auto finish = respond_once(std::move(done));
   simulator_.schedule(timeout, [finish] { finish({}); });
   const auto server = servers_.find(address);
   if (server == servers_.end()) {
@@ -105,7 +105,8 @@
   transmit(from, to, [this, call] { arrive(call); });
 }
 
-/// Delivers the request out of order, as a fault of the network, without an answer to its sender.
+/// Decides whether the request is delivered late. If so, schedules its delivery; the sender gets no
+/// response.
 bool Network::delivered_late(const Call& call) {
   const auto& [from, to, address, request, finish] = call;
   if (const double delay = delay_request ? delay_request(from, address, request) : 0; delay > 0) {
@@ -156,7 +157,7 @@
   }
 }
 
-/// Delivers a message for whose answer nobody waits, if its server still listens.
+/// Delivers a request whose response is discarded, if its server still listens.
 void Network::deliver_unanswered(const std::string& address, const HttpRequest& request) {
   const auto server = servers_.find(address);
   if (server == servers_.end()) return;
--- a/tests/sim/network.hpp
+++ b/tests/sim/network.hpp
@@ -14,13 +14,16 @@
 
 namespace sim {
 
+/// Sends the response to a request.
 using Respond = std::function<void(HttpResponse)>;
+/// Handles the requests to a server.
 using Handler = std::function<void(const HttpRequest&, const Respond&)>;
 
-/// Simulated network. Servers listen on addresses, each of which is on a host; faults are between
-/// hosts. Every message takes some milliseconds, unless a fault holds, delays or drops it.
+/// Simulated network. Servers listen on addresses, and each address belongs to a host. Faults apply
+/// between hosts. Every message takes some milliseconds, unless a fault holds, delays or drops it.
 class Network {
  public:
+  /// Creates a network without servers and faults.
   explicit Network(Simulator& simulator) : simulator_(simulator) {}
 
   /// Serves `address`, which is on `host`, with `handler`.
@@ -28,64 +31,66 @@
   /// Stops serving `address`. Requests to it get no answer.
   void close(const std::string& address) { servers_.erase(address); }
 
-  /// Sends a request. `done` runs exactly once, with status 0 after `timeout` or without a server.
+  /// Sends a request. `done` runs exactly once; its status is 0 if the request times out or no
+  /// server listens on the address.
   void http(const std::string& from, const std::string& address, HttpRequest request,
             Duration timeout, Respond done);
 
   // ---- Faults between hosts ----
 
-  /// Isolates one host from all others. Its messages are held and delivered after the reconnection,
-  /// even when their sender has given up.
+  /// Isolates one host from all others. Messages to and from it are held and delivered after the
+  /// reconnection, even if the request has timed out meanwhile.
   void isolate(const std::string& host) { isolated_.insert(host); }
   /// Ends the isolation of the host and releases held messages.
   void reconnect(const std::string& host);
 
-  /// Partitions the network: these hosts reach one another, but nobody else. Messages across the
+  /// Partitions the network: these hosts reach one another, but no other host. Messages across the
   /// partition are held.
   void partition(const std::set<std::string>& hosts) { partitions_.push_back(hosts); }
   /// Ends all partitions and releases held messages.
   void heal_partitions();
 
-  /// Whether messages from one host to another are lost, in this direction only.
+  /// Sets whether messages from one host to another are lost, in this direction only.
   void set_one_way_drop(const std::string& from, const std::string& to, bool on);
-  /// The same in both directions.
+  /// Sets whether messages between two hosts are lost, in both directions.
   void set_two_way_drop(const std::string& one, const std::string& other, bool on);
-  /// Ends all drops that the two functions above began.
+  /// Ends all one-way and two-way drops.
   void clear_drops() { drops_.clear(); }
 
-  /// Whether the server's host answers 503 to this client alone. Requests that the server holds
-  /// open already are answered once this ends.
+  /// Sets whether requests from host `client` to host `server` are answered 503. Responses to
+  /// earlier requests, such as open watches, are held until this ends.
   void set_unavailable(const std::string& client, const std::string& server, bool on);
 
-  /// Whether messages from one host reach the other, as far as partitions and drops go.
+  /// Whether messages from one host reach the other: neither isolation, a partition nor a drop
+  /// prevents it.
   bool reaches(const std::string& from, const std::string& to) const;
 
-  // ---- Faults of all messages ----
+  // ---- Faults that affect all messages ----
 
-  double loss_rate = 0;              ///< share of messages that never arrive
-  double delay_rate = 0;             ///< share of messages that arrive up to 40 s late
-  double duplication_rate = 0;       ///< share of requests that arrive again, up to 45 s later
-  double late_transaction_rate = 0;  ///< share of transactions applied late and never answered
+  double loss_rate = 0;              ///< fraction of messages that are lost
+  double delay_rate = 0;             ///< fraction of messages that arrive 1 to 40 s late
+  double duplication_rate = 0;       ///< fraction of requests delivered again, 1 to 45 s later
+  double late_transaction_rate = 0;  ///< fraction of transactions applied late, without a response
 
-  // ---- Hooks of tests; each may be empty ----
+  // ---- Hooks for tests; each may be empty ----
 
-  /// A request for which this returns true never arrives.
+  /// A request for which this returns true is lost.
   std::function<bool(const std::string& from, const std::string& address, const HttpRequest&)>
       drop_request;
-  /// Seconds after which the request is delivered; its sender gets no answer. 0: no delay.
+  /// Delay in seconds after which the request is delivered without a response; 0: no delay.
   std::function<double(const std::string& from, const std::string& address, const HttpRequest&)>
       delay_request;
   /// Changes a response before it leaves the server.
   std::function<void(const std::string& address, const HttpRequest&, HttpResponse&)> alter_response;
-  /// Additional seconds that the response to this request takes.
+  /// Additional delay in seconds of the response to this request.
   std::function<double(const HttpRequest&)> delay_response;
   /// Observes each request as it is sent.
   std::function<void(const std::string& from, const std::string& address, const HttpRequest&)>
       on_request;
-  /// Observes each response as the server gives it, before alter_response.
+  /// Observes each response as the server sends it, before alter_response.
   std::function<void(const std::string& from, const std::string& address, const HttpResponse&)>
       on_response;
-  /// Observes, after alter_response, that the request's response leaves the server.
+  /// Observes each answered request as its response leaves the server, after alter_response.
   std::function<void(const std::string& from, const std::string& address, const HttpRequest&)>
       on_answered;
 
--- a/tests/sim/rule_checker.cpp
+++ b/tests/sim/rule_checker.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr double kAnswerWithin = 75, kBeginWithin = 240, kWaitAtMost = 90;
-constexpr double kTolerance = 1e-6;
-constexpr std::size_t kReportedViolations = 10;
+constexpr double kMaxUnansweredS = 75, kMaxStartDelayS = 240, kMaxWaitBesideRoomS = 90;
+constexpr double kTolerance = 1e-6;  // for rounding errors in sums of resources
+constexpr std::size_t kMaxReportedViolations = 10;
 
 bool allows_type(const JobRequirements& job, const std::string& type) {
   return job.types.empty() ||
@@ -21,12 +21,12 @@
          (job.spot || !machine.spot);
 }
 
-/// The most tasks of a job that may be in one zone if the job is to be spread.
-std::uint32_t half_of(const JobRequirements& job) { return (job.tasks + 1) / 2; }
+/// The maximum number of tasks of a spread job in one zone.
+std::uint32_t max_tasks_per_zone(const JobRequirements& job) { return (job.tasks + 1) / 2; }
 
-/// How many tasks find room on the machine, `wanted` at the most.
-std::uint32_t fitting(const JobRequirements& job, double memory_gb, const FreeCapacity& free,
-                      std::uint32_t wanted) {
+/// How many tasks of the job fit on the machine, at most `wanted`.
+std::uint32_t fitting_tasks(const JobRequirements& job, double memory_gb, const FreeCapacity& free,
+                            std::uint32_t wanted) {
   double tasks = wanted;
   const auto bound = [&tasks](double each, double available) {
     if (each > 0) tasks = std::min(tasks, std::floor(available / each + kTolerance));
@@ -59,33 +59,35 @@
   began_.emplace(id, simulator_.elapsed());
   auto& here = present_[id];
   if (const auto it = here.find(index); it != here.end()) {
-    fail("ran_twice", id, index, machine.machine + " while on " + it->second.machine);
+    fail("duplicate_execution", id, index, machine.machine + " while on " + it->second.machine);
   }
   check_machine(id, index, machine);
   check_zones(id, index, machine);
   here[index] = machine;
   const auto cancelled = cancelled_.find(id);
   if (cancelled != cancelled_.end() && simulator_.elapsed() > cancelled->second + cancel_s_) {
-    fail("ran_cancelled", id, index, "started");
+    fail("ran_after_cancellation", id, index, "started");
   }
   check_limits(id, index);
 }
 
 void RuleChecker::check_machine(const std::string& id, std::uint32_t index,
                                 const MachineTraits& machine) {
-  if (!allows_machine(jobs_.at(id), machine)) fail("wrong_place", id, index, machine.machine);
+  if (!allows_machine(jobs_.at(id), machine)) fail("wrong_placement", id, index, machine.machine);
 }
 
-/// Compares the machine's zone with those of the job's tasks that are present already.
+/// Checks the machine's zone against those of the job's tasks that are on machines already.
 void RuleChecker::check_zones(const std::string& id, std::uint32_t index,
                               const MachineTraits& machine) {
   const auto& job = jobs_.at(id);
   std::uint32_t same_zone = 1;
-  for (const auto& [other, place] : present_[id]) {
-    if (job.one_zone && place.zone != machine.zone) fail("wrong_place", id, index, "another zone");
-    if (place.zone == machine.zone) ++same_zone;
+  for (const auto& [other_index, other] : present_[id]) {
+    if (job.one_zone && other.zone != machine.zone)
+      fail("wrong_placement", id, index, "another zone");
+    if (other.zone == machine.zone) ++same_zone;
   }
-  if (job.spread && same_zone > half_of(job)) fail("wrong_place", id, index, "spread");
+  if (job.spread && same_zone > max_tasks_per_zone(job))
+    fail("wrong_placement", id, index, "not spread");
 }
 
 void RuleChecker::check_limits(const std::string& id, std::uint32_t index) {
@@ -104,7 +106,7 @@
   return usage;
 }
 
-/// Whether the team of the job keeps to its limits with so many more tasks of the job.
+/// Whether the job's team stays within its limits with `more_tasks` more tasks of the job.
 bool RuleChecker::within_limits(const JobRequirements& job, std::uint32_t more_tasks) const {
   const auto team = teams_.find(job.team);
   if (team == teams_.end()) return true;
@@ -135,40 +137,42 @@
 void RuleChecker::on_answer(const std::string& id, int status, const std::string& stage,
                             bool to_submission, double asked) {
   if (jobs_.count(id) == 0) {
-    if (status == 200) fail("invented", id, 0, stage);
+    if (status == 200) fail("unknown_job_answered", id, 0, stage);
     return;
   }
   check_answer_to_accepted(id, status, to_submission, asked);
   if (status != 200 && status != 201) return;
   unanswered_since_.erase(id);
   accepted_.emplace(id, simulator_.elapsed());
-  if (!jobs_.at(id).valid) fail("unsound", id, 0, "accepted");
+  if (!jobs_.at(id).valid) fail("invalid_job_accepted", id, 0, "accepted");
   check_stage(id, stage, asked);
   const bool cancelled = stage == "withdrawn";
   if (stage == "done" || cancelled) final_.emplace(id, std::pair(stage, simulator_.elapsed()));
   if (cancelled) cancelled_.emplace(id, simulator_.elapsed());
 }
 
-/// What was accepted stays known, and stays accepted when it is submitted again.
+/// An accepted job must stay known, and a repeated submission must not be rejected. Only answers to
+/// requests from after the acceptance count.
 void RuleChecker::check_answer_to_accepted(const std::string& id, int status, bool to_submission,
                                            double asked) {
   const auto accepted = accepted_.find(id);
   if (accepted == accepted_.end() || asked < accepted->second) return;
   const bool refused = to_submission && (status == 400 || status == 422);
-  if (status == 404 || refused) fail("forgotten", id, 0, std::to_string(status));
+  if (status == 404 || refused) fail("job_lost", id, 0, std::to_string(status));
 }
 
-/// A final stage is true and stays.
+/// A final stage must be correct and must not change.
 void RuleChecker::check_stage(const std::string& id, const std::string& stage, double asked) {
-  if (stage == "done" && completed_of(id) < jobs_.at(id).tasks) fail("not_done", id, 0, "");
+  if (stage == "done" && completed_of(id) < jobs_.at(id).tasks)
+    fail("done_before_completion", id, 0, "");
   if (stage == "withdrawn" && cancel_requested_.count(id) == 0) {
-    fail("went_back", id, 0, "not asked for");
+    fail("invalid_stage_change", id, 0, "cancelled without a request");
   }
   const auto before = final_.find(id);
   if (before == final_.end()) return;
   const auto& [final_stage, since] = before->second;
   if (final_stage != stage && asked >= since) {
-    fail("went_back", id, 0, final_stage + " then " + stage);
+    fail("invalid_stage_change", id, 0, final_stage + " then " + stage);
   }
 }
 
@@ -176,8 +180,8 @@
   if (!is_accepted(id) || faults_over_since_ < 0) return;
   const double now = simulator_.elapsed();
   const auto since = std::max(faults_over_since_, unanswered_since_.emplace(id, now).first->second);
-  if (now - since > kAnswerWithin && reported_unanswered_.insert(id).second) {
-    fail("forgotten", id, 0, "no question answered");
+  if (now - since > kMaxUnansweredS && reported_unanswered_.insert(id).second) {
+    fail("job_lost", id, 0, "no query answered");
   }
 }
 
@@ -189,7 +193,7 @@
     const auto it = present_.find(id);
     if (it != present_.end() && !it->second.empty()) {
       reported_cancelled_.insert(id);
-      fail("ran_cancelled", id, it->second.begin()->first, "still there");
+      fail("ran_after_cancellation", id, it->second.begin()->first, "still on a machine");
     }
   }
 }
@@ -202,8 +206,8 @@
   for (const auto& [id, accepted_at] : accepted_) {
     if (!is_waiting(id) || !has_room(jobs_.at(id), capacity, memory_gb_of(id))) {
       waiting_since_.erase(id);
-    } else if (now - waiting_since_.emplace(id, now).first->second > kWaitAtMost) {
-      fail("waits", id, 0, "for more than 90 s beside a machine with room");
+    } else if (now - waiting_since_.emplace(id, now).first->second > kMaxWaitBesideRoomS) {
+      fail("starvation", id, 0, "waits for more than 90 s although there is room");
       waiting_since_[id] = now;
     }
   }
@@ -214,7 +218,7 @@
          completed_of(id) < jobs_.at(id).tasks && tasks_present(id) == 0;
 }
 
-/// Whether the next task, or all of a gang, would find room as things are.
+/// Whether the job's next task, or all tasks of a gang, would fit into the free capacity now.
 bool RuleChecker::has_room(const JobRequirements& job, const std::vector<FreeCapacity>& capacity,
                            double memory_gb) const {
   const std::uint32_t wanted = job.gang ? job.tasks : 1;
@@ -222,41 +226,42 @@
   std::map<std::string, std::uint32_t> by_zone;
   for (const auto& free : capacity) {
     if (allows_machine(job, free.machine)) {
-      by_zone[free.machine.zone] += fitting(job, memory_gb, free, wanted);
+      by_zone[free.machine.zone] += fitting_tasks(job, memory_gb, free, wanted);
     }
   }
-  std::uint32_t all = 0, most = 0;
+  std::uint32_t total = 0, largest_zone = 0;
   for (const auto& [zone, tasks] : by_zone) {
-    all += job.spread ? std::min(tasks, half_of(job)) : tasks;
-    most = std::max(most, tasks);
+    total += job.spread ? std::min(tasks, max_tasks_per_zone(job)) : tasks;
+    largest_zone = std::max(largest_zone, tasks);
   }
-  return (job.one_zone ? most : all) >= wanted;
+  return (job.one_zone ? largest_zone : total) >= wanted;
 }
 
 void RuleChecker::check_service(const std::function<bool(const std::string&)>& could_begin) {
   struct Share {
-    unsigned all = 0, served = 0;
+    unsigned total = 0, served = 0;
   };
   std::map<std::string, Share> shares;
-  const auto large_from = smallest_of_largest();
+  const auto min_tasks_of_largest = min_tasks_of_largest_tenth();
   for (const auto& [id, job] : jobs_) {
     if (!counts_for_service(id)) continue;
-    const bool largest = job.tasks >= large_from.at(job.gang);
+    const bool largest = job.tasks >= min_tasks_of_largest.at(job.gang);
     const std::string name = job.gang ? "gangs" : "arrays";
     for (const auto& key : {name, "team " + job.team, largest ? "largest " + name : ""}) {
       if (key.empty()) continue;
-      ++shares[key].all;
+      ++shares[key].total;
       if (completed_of(id) >= job.tasks) ++shares[key].served;
     }
     const auto began = began_.find(id);
     const double waited =
         (began == began_.end() ? simulator_.elapsed() : began->second) - accepted_.at(id);
-    if (largest && waited > kBeginWithin && could_begin(id)) {
-      fail("served", id, 0, "began after " + std::to_string(waited) + " s");
+    if (largest && waited > kMaxStartDelayS && could_begin(id)) {
+      fail("underserved", id, 0, "began after " + std::to_string(waited) + " s");
     }
   }
   for (const auto& [key, share] : shares) {
-    if (share.served * 2 < share.all) fail("served", key, share.served, "of too many");
+    if (share.served * 2 < share.total)
+      fail("underserved", key, share.served, "jobs served, less than half");
   }
 }
 
@@ -264,18 +269,19 @@
   return is_accepted(id) && cancel_requested_.count(id) == 0;
 }
 
-/// The number of tasks from which a job is among the largest tenth, of arrays and of gangs.
-std::map<bool, std::uint32_t> RuleChecker::smallest_of_largest() const {
+/// The minimum number of tasks of the largest tenth of the jobs, for arrays (false) and gangs
+/// (true).
+std::map<bool, std::uint32_t> RuleChecker::min_tasks_of_largest_tenth() const {
   std::map<bool, std::vector<std::uint32_t>> sizes;
   for (const auto& [id, job] : jobs_) {
     if (counts_for_service(id)) sizes[job.gang].push_back(job.tasks);
   }
-  std::map<bool, std::uint32_t> smallest;
+  std::map<bool, std::uint32_t> min_tasks;
   for (auto& [gang, list] : sizes) {
     std::sort(list.begin(), list.end());
-    smallest[gang] = list[list.size() * 9 / 10];
+    min_tasks[gang] = list[list.size() * 9 / 10];
   }
-  return smallest;
+  return min_tasks;
 }
 
 // ---- Results ----
@@ -287,7 +293,7 @@
 
 std::string RuleChecker::report() const {
   std::string lines;
-  for (std::size_t i = 0; i < violations.size() && i < kReportedViolations; ++i) {
+  for (std::size_t i = 0; i < violations.size() && i < kMaxReportedViolations; ++i) {
     lines += violations[i] + "\n";
   }
   return lines;
--- a/tests/sim/rule_checker.hpp
+++ b/tests/sim/rule_checker.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// The rules of PROTOCOL.
+// Checker of the rules of PROTOCOL.
 
 #include <cstdint>
 #include <functional>
@@ -15,59 +15,63 @@
 
 namespace sim {
 
-/// Judges the rules of PROTOCOL from what workers do and users are told alone. It shares no code
-/// with the service. The stand-ins call the functions that begin with `on_`.
+/// Checks the rules of PROTOCOL. It uses only what workers do and what users are answered, and it
+/// shares no code with the service. The simulated workers and users call the functions that begin
+/// with `on_`.
 class RuleChecker {
  public:
-  /// A team's limits; 0: none.
+  /// A team's resource limits; 0: unlimited.
   struct TeamLimits {
     double max_cpus = 0, max_gpus = 0;
   };
 
+  /// A cancelled job's tasks must end within `cancel_s` seconds.
   RuleChecker(Simulator& simulator, std::map<std::string, TeamLimits> teams, double cancel_s);
 
   // ---- Events ----
 
   /// A user submits a job.
   void on_submitted(const std::string& id, const JobRequirements& job) { jobs_[id] = job; }
-  /// The task has its image: from now on it is on the machine.
+  /// The worker has fetched the task's image. From now on the task counts as on the machine.
   void on_task_present(const std::string& id, std::uint32_t index, const MachineTraits& machine);
   /// The task is no longer on the machine.
   void on_task_absent(const std::string& id, std::uint32_t index, const std::string& machine);
-  /// The task has done all its work.
+  /// The task has completed its work.
   void on_task_completed(const std::string& id, std::uint32_t index);
   /// A user queries a job.
   void on_query(const std::string& id);
   /// A user cancels a job.
   void on_cancel_requested(const std::string& id) { cancel_requested_.insert(id); }
-  /// A user gets an answer to what was asked at `asked`; `stage` is empty if the answer has none.
-  /// An answer under way while another was told may be the older one; only the answer to what was
-  /// asked later must not be.
+  /// A user receives the answer to a request that was sent at `asked`; `stage` is empty if the
+  /// answer has none. Answers may arrive out of order, so an answer may contradict an earlier one
+  /// if its request was sent before that one arrived, but not if it was sent afterwards.
   void on_answer(const std::string& id, int status, const std::string& stage, bool to_submission,
                  double asked);
-  /// All faults are over. From now on each accepted job's queries must be answered again within a
-  /// time, on one node or another, and no job may starve.
+  /// All faults have ended. From now on the queries of each accepted job must be answered within a
+  /// time limit, by any node, and no job may starve.
   void on_faults_over() { faults_over_since_ = simulator_.elapsed(); }
 
   // ---- Periodic checks ----
 
-  /// To be called after each event: no task of a cancelled job is left after cancel_s.
+  /// Call after each event. Checks that no task of a cancelled job is on a machine after cancel_s.
   void check_cancelled_jobs();
-  /// To be called now and then: once the faults are over, no job waits for long while there is room
-  /// for it all along. `memory_gb_of` tells what a task of a job needs.
+  /// Call periodically. Checks, once the faults have ended, that no job waits for long while there
+  /// is room for it all the time. `memory_gb_of` returns the memory that a task of a job needs.
   void check_waiting_jobs(const std::vector<FreeCapacity>& capacity,
                           const std::function<double(const std::string&)>& memory_gb_of);
-  /// To be called at the end: of each class, of each team and of each class's largest jobs at least
-  /// half were served, and the largest began in time, as far as `could_begin` says that they could.
+  /// Call at the end of the run. Checks that at least half of the jobs of each class, of each team
+  /// and of the largest tenth of each class have completed, and that those largest jobs began in
+  /// time unless `could_begin` returns false.
   void check_service(const std::function<bool(const std::string&)>& could_begin);
 
   // ---- Results ----
 
-  /// Whether the rule was broken.
+  /// Whether the rule was violated.
   bool violated(const std::string& rule) const;
-  /// The first violations, one a line.
+  /// The first violations, one per line.
   std::string report() const;
 
+  /// Whether a user was told that the job is accepted.
   bool is_accepted(const std::string& id) const { return accepted_.count(id) != 0; }
   /// Whether a task of the job has ever been on a machine.
   bool has_begun(const std::string& id) const { return began_.count(id) != 0; }
@@ -77,18 +81,19 @@
   std::string final_stage(const std::string& id) const;
   /// Whether a user was told that the job is cancelled.
   bool cancellation_confirmed(const std::string& id) const { return cancelled_.count(id) != 0; }
+  /// The team that owns the job.
   const std::string& team_of(const std::string& id) const { return jobs_.at(id).team; }
   /// How many tasks of the job are on machines.
   std::size_t tasks_present(const std::string& id) const;
-  /// How many times a task of the job has begun.
+  /// How many times tasks of the job have started.
   std::uint64_t starts_of(const std::string& id) const;
 
-  std::vector<std::string> violations;
-  std::uint64_t starts = 0, completed_tasks = 0;
-  /// Starts of jobs whose cancellation was confirmed. Counted, not a violation: a start may be
-  /// under way to a machine that nothing else reaches.
+  std::vector<std::string> violations;            ///< descriptions, in the order they occurred
+  std::uint64_t starts = 0, completed_tasks = 0;  ///< tasks started and completed, of all jobs
+  /// Starts of jobs whose cancellation was confirmed. They are counted but are no violations: a
+  /// start command may still be in transit to a machine that nothing else reaches.
   std::uint64_t starts_after_cancel = 0;
-  /// Called as a job's last task completes, if set.
+  /// Called when a job's last task completes, if set.
   std::function<void(const std::string& id)> on_job_completed;
 
  private:
@@ -111,7 +116,7 @@
                 double memory_gb) const;
   bool within_limits(const JobRequirements& job, std::uint32_t more_tasks) const;
   bool counts_for_service(const std::string& id) const;
-  std::map<bool, std::uint32_t> smallest_of_largest() const;
+  std::map<bool, std::uint32_t> min_tasks_of_largest_tenth() const;
   std::size_t completed_of(const std::string& id) const;
 
   Simulator& simulator_;
--- a/tests/sim/scenario.cpp
+++ b/tests/sim/scenario.cpp
@@ -88,7 +88,7 @@
                    auto& listening = process(node);
                    if (request.target == "/v1/report") ++heartbeats;
                    if (!listening.node || listening.incarnation != incarnation) return;
-                   listening.runtime->when_awake([&listening, request, respond] {
+                   listening.runtime->run_when_resumed([&listening, request, respond] {
                      listening.node->handle(request, respond);
                    });
                  });
@@ -102,11 +102,12 @@
     const int peer = node_named(to);
     if (peer < 0 || !process(peer).node) return;
     auto& receiver = process(peer);
-    receiver.runtime->when_awake([&receiver, message] { receiver.node->peer_message(message); });
+    receiver.runtime->run_when_resumed(
+        [&receiver, message] { receiver.node->peer_message(message); });
   });
 }
 
-/// Once a second, for as long as the run lasts.
+/// Checks once per second until the end of the run.
 void Scenario::check_waiting_jobs_periodically() {
   simulator.schedule(1s, [this] {
     std::vector<FreeCapacity> capacity;
--- a/tests/sim/settings_text.cpp
+++ b/tests/sim/settings_text.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::string with_tenths(double value) {
+std::string to_one_decimal(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.1f", value);
   return text;
@@ -52,10 +52,10 @@
 name = "blue"
 [cluster.workers]
 report_s = )" +
-         with_tenths(timing.report_s) + "\nlease_s = " + with_tenths(timing.lease_s) +
-         "\ngang_wait_s = " + with_tenths(timing.gang_wait_s) +
-         "\ngang_peer_s = " + with_tenths(timing.gang_peer_s) +
-         "\ncancel_s = " + with_tenths(timing.cancel_s) + R"(
+         to_one_decimal(timing.report_s) + "\nlease_s = " + to_one_decimal(timing.lease_s) +
+         "\ngang_wait_s = " + to_one_decimal(timing.gang_wait_s) +
+         "\ngang_peer_s = " + to_one_decimal(timing.gang_peer_s) +
+         "\ncancel_s = " + to_one_decimal(timing.cancel_s) + R"(
 [cluster.state]
 rps = )" +
          std::to_string(rps) + "\nwrite_rps = " + std::to_string(write_rps) + R"(
--- a/tests/sim/sim_runtime.cpp
+++ b/tests/sim/sim_runtime.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kEpoch = 1.7e9;  // wall time at the simulator's zero
+constexpr double kWallTimeOrigin = 1.7e9;  // s of Unix time where the simulator's clock is zero
 
 }  // namespace
 
@@ -28,7 +28,7 @@
 
 WallTime SimRuntime::wall() const {
   return WallTime(std::chrono::duration_cast<WallTime::duration>(
-      Seconds(kEpoch + seconds(simulator_.now().time_since_epoch()) + wall_offset_)));
+      Seconds(kWallTimeOrigin + seconds(simulator_.now().time_since_epoch()) + wall_offset_)));
 }
 
 TimerId SimRuntime::after(Duration delay, std::function<void()> action) {
@@ -37,7 +37,7 @@
   simulator_.schedule(delay,
                       [this, alive = std::weak_ptr<int>(alive_), id, action = std::move(action)] {
                         if (alive.expired()) return;
-                        when_awake([this, id, action] {
+                        run_when_resumed([this, id, action] {
                           if (timers_.erase(id) == 0) return;
                           const auto before = allocations();
                           action();
@@ -53,7 +53,7 @@
       host_, address, std::move(request), timeout,
       [this, alive = std::weak_ptr<int>(alive_), done = std::move(done)](HttpResponse response) {
         if (alive.expired()) return;
-        when_awake([done, response = std::move(response)] { done(response); });
+        run_when_resumed([done, response = std::move(response)] { done(response); });
       });
 }
 
@@ -70,14 +70,14 @@
   frozen_until_ = std::max(frozen_until_, simulator_.elapsed() + seconds);
 }
 
-void SimRuntime::when_awake(std::function<void()> action) {
+void SimRuntime::run_when_resumed(std::function<void()> action) {
   if (simulator_.elapsed() >= frozen_until_) {
     action();
     return;
   }
   simulator_.schedule(Seconds(frozen_until_ - simulator_.elapsed() + 0.001),
                       [this, alive = std::weak_ptr<int>(alive_), action = std::move(action)] {
-                        if (!alive.expired()) when_awake(action);
+                        if (!alive.expired()) run_when_resumed(action);
                       });
 }
 
--- a/tests/sim/sim_runtime.hpp
+++ b/tests/sim/sim_runtime.hpp
@@ -13,13 +13,15 @@
 
 namespace sim {
 
-/// Runtime of one simulated process: its clocks drift and are off, its messages go over the
-/// simulated network, and it can be frozen. Destroying it ends the process.
+/// Runtime of one simulated process. Its steady clock drifts, its wall clock is off by up to 0.5 s,
+/// its messages go over the simulated network, and it can be frozen. Destroying it ends the
+/// process.
 class SimRuntime : public Runtime {
  public:
   /// Sends a gossip message to the named node.
   using SendPeer = std::function<void(const std::string& node, std::string message)>;
 
+  /// Creates the runtime of a process on `host`.
   SimRuntime(Simulator& simulator, Network& network, std::string host, SendPeer send_peer);
 
   TimePoint now() const override;
@@ -31,15 +33,15 @@
             HttpCallback done) override;
   void send_peer(const std::string& node, std::string message) override;
 
-  /// From now on the steady clock runs at this speed; 1 is true.
+  /// Sets the speed of the steady clock from now on; 1 is exact.
   void set_clock_speed(double speed);
-  /// Stops the process for `seconds`. Afterwards it goes on with all messages and timers that have
-  /// come meanwhile.
+  /// Pauses the process for `seconds`. When it resumes, it handles all messages and timers that
+  /// came due meanwhile.
   void freeze(double seconds);
-  /// Runs the action now, or once the process goes on.
-  void when_awake(std::function<void()> action);
+  /// Runs the action now, or when the process resumes if it is frozen.
+  void run_when_resumed(std::function<void()> action);
 
-  std::uint64_t timer_allocations = 0;  ///< allocations by actions of timers
+  std::uint64_t timer_allocations = 0;  ///< allocations by timer actions
 
  private:
   Simulator& simulator_;
@@ -51,7 +53,8 @@
   double frozen_until_ = 0;
   TimerId last_timer_ = 0;
   std::set<TimerId> timers_;
-  std::shared_ptr<int> alive_ = std::make_shared<int>(0);  // callbacks hold it weakly
+  // Callbacks hold a weak pointer to it and do nothing once the runtime is destroyed.
+  std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
 }  // namespace sim
--- a/tests/sim/simulator.hpp
+++ b/tests/sim/simulator.hpp
@@ -14,15 +14,16 @@
 
 using namespace asterstair;
 
-/// Discrete-event simulator: a virtual clock, a queue of timed actions and the run's random
-/// numbers. Everything random comes from one seed, so a run repeats exactly.
+/// Discrete-event simulator: a virtual clock, a queue of timed actions and a random number
+/// generator. All randomness comes from one seed, so the same seed gives the same run.
 class Simulator {
  public:
+  /// Creates a simulator whose random numbers follow from `seed`.
   explicit Simulator(std::uint64_t seed) : rng_(seed) {}
 
-  /// Virtual steady clock. It begins at 1000 s, so that no component sees a time point of zero.
+  /// Virtual steady clock. It starts at 1000 s, so that no component sees a time point of zero.
   TimePoint now() const { return now_; }
-  /// Seconds since the run began.
+  /// Seconds since the start of the run.
   double elapsed() const;
 
   /// Runs `action` after `delay`; a negative delay counts as zero. Actions due at the same time run
@@ -32,7 +33,7 @@
     const Duration rounded = std::chrono::duration_cast<Duration>(delay);
     push(rounded, std::move(action));
   }
-  /// Runs all actions that are due by `end`, in seconds since the run began.
+  /// Runs all actions that are due by `end`, in seconds since the start of the run.
   void run_until(double end);
 
   /// Uniformly distributed number from [low, high).
@@ -50,7 +51,7 @@
     TimePoint due;
     std::uint64_t order;
     std::function<void()> action;
-    /// Inverted, since the priority queue serves the largest first.
+    /// Inverted, because the priority queue returns the largest element first.
     bool operator<(const Event& other) const;
   };
 
--- a/tests/sim/submission.cpp
+++ b/tests/sim/submission.cpp
@@ -56,13 +56,13 @@
   requirements.team = simulator.chance(0.5) ? "red" : "blue";
   requirements.spot = simulator.chance(0.6);
   workload.gang = simulator.chance(0.35);
-  double most_tasks = 20;
-  if (workload.gang) most_tasks = requirements.team == "red" ? 5 : 12.99;
-  workload.tasks = static_cast<std::uint32_t>(simulator.uniform(1, most_tasks));
+  double max_tasks = 20;
+  if (workload.gang) max_tasks = requirements.team == "red" ? 5 : 12.99;
+  workload.tasks = static_cast<std::uint32_t>(simulator.uniform(1, max_tasks));
   workload.cpus = simulator.chance(0.5) ? 2 : 4;
   workload.memory_gb = 4;
   if (simulator.chance(0.3)) workload.gpus = 1;
-  // A zone has accelerators for small gangs only.
+  // A zone has enough accelerators for small gangs only.
   if (workload.gang && (requirements.team == "red" || workload.tasks > 5)) workload.gpus = 0;
   workload.run_s = simulator.uniform(5, 40);
   workload.checkpoint_s = simulator.chance(0.5) ? 5 : 0;
--- a/tests/sim/submission.hpp
+++ b/tests/sim/submission.hpp
@@ -10,23 +10,23 @@
 
 namespace sim {
 
-/// What a job demands of its placement, as the rule checker knows it.
+/// The requirements of a job that the rule checker checks.
 struct JobRequirements {
   std::string team, zone;
   bool gang = false, one_zone = false, spread = false, spot = false;
-  bool valid = true;  ///< it can run and lacks no field
+  bool valid = true;  ///< well-formed and able to run
   std::uint32_t tasks = 0;
   double cpus = 0, gpus = 0;
-  std::vector<std::string> types;  ///< empty: any
+  std::vector<std::string> types;  ///< allowed machine types; empty: all
 };
 
-/// What a job's tasks do on a worker.
+/// What a job's tasks need and do on a worker.
 struct Workload {
   double run_s = 20, checkpoint_s = 0, save_s = 0, image_gb = 1;
   double cpus = 0, gpus = 0, memory_gb = 0;
   std::uint32_t tasks = 1;
   bool gang = false;
-  bool fails = false;  ///< exits with an error wherever it is started
+  bool fails = false;  ///< exits with an error on every machine
   std::string image;
 };
 
@@ -35,19 +35,20 @@
   JobRequirements requirements;
   Workload workload;
 
-  /// Copies to the requirements what the workload says of tasks, gang and resources.
+  /// Copies the number of tasks, the gang flag and the resources from the workload to the
+  /// requirements.
   void complete_requirements();
-  /// The submission's body under the job's id.
+  /// The body of the submission request for job `id`.
   Json body(const std::string& id) const;
 };
 
-/// An array of tasks that fit four to a machine and have no checkpoints.
+/// An array job without checkpoints. Four of its tasks fit on a machine.
 Submission array_job(std::uint32_t tasks, double run_s, const std::string& team = "blue");
 
-/// The same, also on spot machines.
+/// An array job like array_job() that may also run on spot machines.
 Submission spot_array_job(std::uint32_t tasks, double run_s);
 
-/// A random job, small enough for the machines of a Scenario.
+/// A random job that fits on the machines of a Scenario.
 Submission random_job(Simulator& simulator);
 
 }  // namespace sim
--- a/tests/sim/timing.hpp
+++ b/tests/sim/timing.hpp
@@ -2,7 +2,8 @@
 
 namespace sim {
 
-/// The times that workers and controllers agree on, in seconds, as the settings name them.
+/// The time limits that workers and controllers share, in seconds, under their names in the
+/// settings.
 struct Timing {
   double report_s = 2, lease_s = 10, gang_wait_s = 30, gang_peer_s = 4, cancel_s = 40;
 };
--- a/tests/sim/traffic.cpp
+++ b/tests/sim/traffic.cpp
@@ -14,11 +14,11 @@
                      const std::function<bool(const Json&)>& which) {
   if (!is_accepted_heartbeat(request, response)) return;
   auto answer = Json::parse(response.body);
-  Json kept = Json::array();
+  Json remaining = Json::array();
   for (const auto& command : answer["orders"]) {
-    if (!which(command)) kept.push_back(command);
+    if (!which(command)) remaining.push_back(command);
   }
-  answer["orders"] = kept;
+  answer["orders"] = remaining;
   response.body = answer.dump();
 }
 
--- a/tests/sim/traffic.hpp
+++ b/tests/sim/traffic.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Requests and responses by what they are, for the hooks of Network.
+// Classifies and alters requests and responses, for the hooks of Network.
 
 #include <functional>
 #include <string_view>
@@ -9,17 +9,17 @@
 
 namespace sim {
 
-/// Whether a worker's heartbeat was accepted with this response.
+/// Whether the request is a worker's heartbeat that this response accepts.
 bool is_accepted_heartbeat(const HttpRequest& request, const HttpResponse& response);
 
-/// Whether the request reads or watches keys with this prefix.
+/// Whether the request lists or watches keys with this prefix.
 bool reads_prefix(const HttpRequest& request, std::string_view prefix);
 
 /// Removes the commands for which `which` returns true from the response to a heartbeat.
 void remove_commands(const HttpRequest& request, HttpResponse& response,
                      const std::function<bool(const Json&)>& which);
 
-/// Drops all commands that go to workers directly, not as answers to heartbeats.
+/// Drops all commands that are sent to workers directly instead of in responses to heartbeats.
 void drop_direct_commands(Network& network);
 
 }  // namespace sim
--- a/tests/sim/user_client.cpp
+++ b/tests/sim/user_client.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr auto kSubmitTimeout = 5s, kCancelTimeout = 5s, kQueryTimeout = 2s;
-constexpr unsigned kFirstInvalidJob = 800000;
+constexpr unsigned kInvalidJobOffset = 800000;  // keeps ids of invalid jobs apart from valid ones
 
 std::string job_id(unsigned number) {
   char id[16];
@@ -50,12 +50,12 @@
   send(id, submission_of(body), kSubmitTimeout, Kind::Submit, ignore);
 }
 
-void UserClient::submit_invalid(Submission job, const std::function<void(Json&)>& spoil) {
-  const auto id = job_id(kFirstInvalidJob + ++last_invalid_job_);
+void UserClient::submit_invalid(Submission job, const std::function<void(Json&)>& make_invalid) {
+  const auto id = job_id(kInvalidJobOffset + ++last_invalid_job_);
   job.requirements.valid = false;
   checker_.on_submitted(id, job.requirements);
   Json body = job.body(id);
-  spoil(body);
+  make_invalid(body);
   send(id, submission_of(body), kSubmitTimeout, Kind::Submit, ignore);
 }
 
@@ -85,7 +85,7 @@
   return ids;
 }
 
-/// Queries the job every few seconds, and for a while after it is final.
+/// Queries the job every few seconds, and a random number of times after it is final.
 void UserClient::poll(const std::string& id) {
   simulator_.schedule(Seconds(simulator_.uniform(4, 6)), [this, id] {
     query(id, [this, id](int) {
@@ -94,13 +94,13 @@
   });
 }
 
-/// Repeats the request until its status is enough, or one that refuses it for good.
+/// Repeats the request until `succeeded` accepts its status or the status is a permanent rejection.
 void UserClient::send_until(const std::string& id, const HttpRequest& request, Kind kind,
-                            const std::function<bool(int)>& enough) {
-  send(id, request, kSubmitTimeout, kind, [this, id, request, kind, enough](int status) {
-    if (enough(status) || status == 400 || status == 422) return;
-    simulator_.schedule(Seconds(simulator_.uniform(1, 2)), [this, id, request, kind, enough] {
-      send_until(id, request, kind, enough);
+                            const std::function<bool(int)>& succeeded) {
+  send(id, request, kSubmitTimeout, kind, [this, id, request, kind, succeeded](int status) {
+    if (succeeded(status) || status == 400 || status == 422) return;
+    simulator_.schedule(Seconds(simulator_.uniform(1, 2)), [this, id, request, kind, succeeded] {
+      send_until(id, request, kind, succeeded);
     });
   });
 }
--- a/tests/sim/user_client.hpp
+++ b/tests/sim/user_client.hpp
@@ -15,40 +15,41 @@
 
 namespace sim {
 
-/// Simulated users: they submit, query and cancel jobs at random nodes, repeat what gets no answer,
-/// and tell the rule checker every answer. They are on host "users".
+/// Simulated users. They submit, query and cancel jobs through random nodes, retry requests that
+/// fail, and report every answer to the rule checker. They are on host "users".
 class UserClient {
  public:
+  /// Users send their requests to these nodes.
   UserClient(Simulator& simulator, Network& network, RuleChecker& checker, JobStates& jobs,
              std::vector<std::string> node_addresses);
 
-  /// Submits a job, repeats it until it is accepted or refused, and polls it afterwards. Returns
-  /// the job's id.
+  /// Submits a job, retries until it is accepted or rejected, and polls it afterwards. Returns the
+  /// job's id.
   std::string submit(Submission job);
-  /// Submits an accepted job once more, as users do who are not sure, perhaps in another form.
+  /// Submits an accepted job again, like a user who missed the answer; `body` may differ.
   void resubmit(const std::string& id, const Json& body);
-  /// Submits, once, a job that `spoil` makes one that must not be accepted.
-  void submit_invalid(Submission job, const std::function<void(Json&)>& spoil);
-  /// Cancels a job and repeats that until it is answered.
+  /// Submits a job once, after `make_invalid` has altered it so that it must be rejected.
+  void submit_invalid(Submission job, const std::function<void(Json&)>& make_invalid);
+  /// Cancels a job and retries until the cancellation is confirmed or rejected.
   void cancel(const std::string& id);
-  /// Cancels a job once, through this node.
+  /// Cancels a job once, through the node at this address.
   void cancel_through(const std::string& node_address, const std::string& id);
-  /// Asks for a job once. `done` gets the status.
+  /// Queries a job once. `done` receives the status.
   void query(
       const std::string& id, std::function<void(int)> done = [](int) {});
 
-  /// The ids of all jobs that submit() has sent, in their order.
+  /// The ids of all jobs passed to submit(), in the order of submission.
   std::vector<std::string> job_ids() const;
-  /// What was submitted under each of them.
+  /// The submissions by job id.
   const std::map<std::string, Submission>& submissions() const { return submissions_; }
 
  private:
-  /// What a request is, for the rule checker.
+  /// The kind of a request.
   enum class Kind { Submit, Query, Cancel };
 
   void poll(const std::string& id);
   void send_until(const std::string& id, const HttpRequest& request, Kind kind,
-                  const std::function<bool(int)>& enough);
+                  const std::function<bool(int)>& succeeded);
   void send(const std::string& id, HttpRequest request, Duration timeout, Kind kind,
             std::function<void(int)> done);
   const std::string& random_node();
--- a/tests/sim/worker.cpp
+++ b/tests/sim/worker.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr auto kHeartbeatTimeout = 4s;
-constexpr double kTolerance = 1e-6;
-constexpr double kForever = 1e9;
+constexpr double kTolerance = 1e-6;  // for rounding errors in sums
+constexpr double kUnlimitedS = 1e9;  // longer than any run
 
 }  // namespace
 
@@ -29,12 +29,12 @@
   environment_.network.listen(
       address, id, [weak = weak_from_this()](const HttpRequest& request, const Respond& respond) {
         if (const auto self = weak.lock()) {
-          self->when_awake(
-              [request, respond](Worker& awake) { awake.on_request(request, respond); });
+          self->run_when_resumed(
+              [request, respond](Worker& worker) { worker.on_request(request, respond); });
         }
       });
   heartbeat_loop();
-  watch_lease();
+  schedule_lease_check();
 }
 
 void Worker::terminate() {
@@ -45,7 +45,7 @@
 
 void Worker::give_preemption_notice(double seconds) {
   preempted_at_ = now() + seconds;
-  heartbeat_soon();
+  request_heartbeat();
 }
 
 // ---- Process ----
@@ -53,34 +53,35 @@
 void Worker::hang(double seconds) {
   hung_until_ = std::max(hung_until_, now() + seconds);
   environment_.simulator.schedule(Seconds(seconds), [weak = weak_from_this()] {
-    if (const auto self = weak.lock(); self && !self->terminated && !self->hung()) self->wake();
+    if (const auto self = weak.lock(); self && !self->terminated && !self->hung()) self->resume();
   });
 }
 
 bool Worker::hung() const { return now() + kTolerance < hung_until_; }
 
-/// Runs the action now, or once the process goes on.
-void Worker::when_awake(std::function<void(Worker&)> action) {
+/// Runs the action now, or when the process resumes if it is hung.
+void Worker::run_when_resumed(std::function<void(Worker&)> action) {
   if (hung()) {
-    asleep_.push_back(std::move(action));
+    deferred_actions_.push_back(std::move(action));
   } else {
     action(*this);
   }
 }
 
-void Worker::wake() {
-  for (auto& action : std::exchange(asleep_, {})) {
+void Worker::resume() {
+  for (auto& action : std::exchange(deferred_actions_, {})) {
     if (!terminated) action(*this);
   }
 }
 
-/// A hung process may carry on within its lease only: after the lease no task is on the machine.
-void Worker::watch_lease() {
+/// Checks the lease every 100 ms, also while the process hangs: once the lease has expired, no task
+/// may be on the machine.
+void Worker::schedule_lease_check() {
   environment_.simulator.schedule(100ms, [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self || self->terminated) return;
     self->check_lease();
-    self->watch_lease();
+    self->schedule_lease_check();
   });
 }
 
@@ -91,7 +92,7 @@
   drop_all_tasks();
   ++epoch_;
   epoch_began_ = now;
-  heartbeat_soon();
+  request_heartbeat();
 }
 
 // ---- Controllers ----
@@ -102,13 +103,14 @@
   environment_.simulator.schedule(Seconds(interval), [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self || self->terminated) return;
-    if (!self->in_flight_ && !self->hung()) self->send_heartbeat();
+    if (!self->heartbeat_in_flight_ && !self->hung()) self->send_heartbeat();
     self->heartbeat_loop();
   });
 }
 
-/// Something has changed: the next heartbeat goes out now, or half a second after the last one.
-void Worker::heartbeat_soon() {
+/// Sends the next heartbeat early because something has changed: now, or half a second after the
+/// previous one.
+void Worker::request_heartbeat() {
   if (heartbeat_due_ || terminated) return;
   heartbeat_due_ = true;
   const double wait = std::max(0.0, last_heartbeat_ + 0.5 - now());
@@ -116,8 +118,8 @@
     const auto self = weak.lock();
     if (!self || self->terminated) return;
     self->heartbeat_due_ = false;
-    self->when_awake([](Worker& awake) {
-      if (!awake.in_flight_) awake.send_heartbeat();
+    self->run_when_resumed([](Worker& worker) {
+      if (!worker.heartbeat_in_flight_) worker.send_heartbeat();
     });
   });
 }
@@ -141,7 +143,7 @@
 }
 
 void Worker::send_heartbeat() {
-  in_flight_ = true;
+  heartbeat_in_flight_ = true;
   last_heartbeat_ = now();
   const auto sent = environment_.simulator.now();
   environment_.network.http(
@@ -150,10 +152,10 @@
       [weak = weak_from_this(), sent, epoch = epoch_](const HttpResponse& response) {
         const auto self = weak.lock();
         if (!self || self->terminated) return;
-        self->when_awake([sent, epoch, response](Worker& awake) {
-          awake.in_flight_ = false;
-          const bool late = awake.environment_.simulator.now() - sent > kHeartbeatTimeout;
-          awake.on_heartbeat_response(late ? HttpResponse{} : response, sent, epoch);
+        self->run_when_resumed([sent, epoch, response](Worker& worker) {
+          worker.heartbeat_in_flight_ = false;
+          const bool late = worker.environment_.simulator.now() - sent > kHeartbeatTimeout;
+          worker.on_heartbeat_response(late ? HttpResponse{} : response, sent, epoch);
         });
       });
 }
@@ -170,7 +172,7 @@
   if (response.status == 421 && follow_redirect(response)) return;
   node_ = (node_ + 1) % environment_.nodes.addresses.size();
   environment_.simulator.schedule(1s, [weak = weak_from_this()] {
-    if (const auto self = weak.lock()) self->heartbeat_soon();
+    if (const auto self = weak.lock()) self->request_heartbeat();
   });
 }
 
@@ -179,13 +181,14 @@
   if (token < token_ || epoch != epoch_) return;
   if (token > token_) {
     token_ = token;
-    heartbeat_soon();
+    request_heartbeat();
   }
   lease_renewed_ = sent;
   apply_commands(answer["orders"]);
 }
 
-/// Turns to the leader that the response names. False if it names no other known node.
+/// Sends further heartbeats to the leader that the response names. Returns false if it names no
+/// other known node.
 bool Worker::follow_redirect(const HttpResponse& response) {
   const auto answer = Json::parse(response.body, nullptr, false);
   const std::string leader = answer.is_object() ? answer.value("foreman", "") : "";
@@ -193,7 +196,7 @@
   for (std::size_t i = 0; i < names.size(); ++i) {
     if (names[i] == leader && i != node_) {
       node_ = i;
-      heartbeat_soon();
+      request_heartbeat();
       return true;
     }
   }
@@ -258,34 +261,35 @@
 }
 
 MachineShape Worker::free() const {
-  MachineShape left = shape;
+  MachineShape available = shape;
   for (const auto& [key, task] : tasks_) {
     if (task.state == "exited") continue;
     const auto& used = workload(key);
-    left.cpus -= used.cpus;
-    left.gpus -= used.gpus;
-    left.memory_gb -= used.memory_gb;
+    available.cpus -= used.cpus;
+    available.gpus -= used.gpus;
+    available.memory_gb -= used.memory_gb;
   }
-  return left;
+  return available;
 }
 
 void Worker::start_task(const TaskKey& key) {
   if (tasks_.count(key) != 0) return;
   Task& task = tasks_[key];
-  heartbeat_soon();
-  if (const auto cause = refusal(key); !cause.empty()) {
+  request_heartbeat();
+  if (const auto cause = rejection_cause(key); !cause.empty()) {
     exit_task(key, task, cause);
     return;
   }
   const auto& image = workload(key).image;
   const double fetch = images_.count(image) != 0 ? 0.02 : workload(key).image_gb / shape.gb_per_s;
-  after(key, fetch, [](Worker& worker, const TaskKey& started, Task& fetched) {
+  schedule_step(key, fetch, [](Worker& worker, const TaskKey& started, Task& fetched) {
     worker.on_image_fetched(started, fetched);
   });
 }
 
-/// Why the task, which is on the list already, cannot run here; empty if it can.
-std::string Worker::refusal(const TaskKey& key) const {
+/// The cause for which the worker rejects the task, which is in tasks_ already; empty if it can
+/// run.
+std::string Worker::rejection_cause(const TaskKey& key) const {
   const auto& workloads = environment_.jobs.workloads;
   const auto known = workloads.find(key.first);
   if (known == workloads.end() || key.second.first >= known->second.tasks) return "no_such";
@@ -317,7 +321,7 @@
     return;
   }
   if (failing || job.fails) {
-    after(key, 0.5, [](Worker& worker, const TaskKey& failed, Task& failed_task) {
+    schedule_step(key, 0.5, [](Worker& worker, const TaskKey& failed, Task& failed_task) {
       worker.exit_task(failed, failed_task, "error");
     });
     return;
@@ -327,14 +331,14 @@
     return;
   }
   task.state = "gathering";
-  heartbeat_soon();
+  request_heartbeat();
   gang(key).ready.insert(attempt.first);
   if (gang(key).ready.size() == job.tasks) gang(key).started = true;
   wait_for_gang(key, now());
 }
 
 void Worker::wait_for_gang(const TaskKey& key, double since) {
-  after(key, 0.2, [since](Worker& worker, const TaskKey& waiting, Task& task) {
+  schedule_step(key, 0.2, [since](Worker& worker, const TaskKey& waiting, Task& task) {
     if (task.state != "gathering") return;
     if (worker.gang(waiting).started) {
       worker.run_task(waiting, task);
@@ -352,17 +356,18 @@
   task.began = now();
   const auto saved = jobs.checkpoints.find(jobs.checkpoint_of(key.first, key.second.first));
   task.progress = saved == jobs.checkpoints.end() ? 0 : saved->second;
-  heartbeat_soon();
-  watch_run(key, task);
+  request_heartbeat();
+  schedule_run_check(key, task);
 }
 
-void Worker::watch_run(const TaskKey& key, const Task& task) {
+/// Schedules the check of a running task: at its end, and every 0.3 s for a gang, which may break.
+void Worker::schedule_run_check(const TaskKey& key, const Task& task) {
   const auto& job = workload(key);
-  const double left = job.run_s - task.progress - (now() - task.began);
-  after(key, std::min(std::max(left, 0.0), job.gang ? 0.3 : kForever),
-        [](Worker& worker, const TaskKey& running, Task& running_task) {
-          worker.check_run(running, running_task);
-        });
+  const double remaining = job.run_s - task.progress - (now() - task.began);
+  schedule_step(key, std::min(std::max(remaining, 0.0), job.gang ? 0.3 : kUnlimitedS),
+                [](Worker& worker, const TaskKey& running, Task& running_task) {
+                  worker.check_run(running, running_task);
+                });
 }
 
 void Worker::check_run(const TaskKey& key, Task& task) {
@@ -371,7 +376,7 @@
     save_last_checkpoint(key, task);
     exit_task(key, task, "peers");
   } else if (task.progress + now() - task.began + kTolerance < job.run_s) {
-    watch_run(key, task);
+    schedule_run_check(key, task);
   } else {
     complete_task(key, task);
   }
@@ -387,7 +392,7 @@
   exit_task(key, task, "done");
 }
 
-/// Keeps the last checkpoint that a running task has written by itself.
+/// Saves the last periodic checkpoint of a running task.
 void Worker::save_last_checkpoint(const TaskKey& key, const Task& task) {
   const double interval = workload(key).checkpoint_s;
   if (interval <= 0 || task.state != "running") return;
@@ -404,8 +409,8 @@
   if (task.state == "running" && job.checkpoint_s > 0 && grace >= job.save_s) {
     const double progress = task.progress + now() - task.began;
     task.state = "saving";
-    heartbeat_soon();
-    after(key, job.save_s, [progress](Worker& worker, const TaskKey& stopped, Task& saved) {
+    request_heartbeat();
+    schedule_step(key, job.save_s, [progress](Worker& worker, const TaskKey& stopped, Task& saved) {
       worker.environment_.jobs.save_checkpoint(stopped.first, stopped.second.first, progress);
       saved.saved = true;
       worker.exit_task(stopped, saved, "halted");
@@ -422,10 +427,11 @@
   task.state = "exited";
   task.cause = cause;
   ++task.step;
-  heartbeat_soon();
+  request_heartbeat();
 }
 
-/// The task is no longer on the machine. The other tasks of its gang notice that.
+/// Records that the task is no longer on the machine. If its gang had started and the task is not
+/// completed, the gang is broken, and its other tasks end as well.
 void Worker::leave_machine(const TaskKey& key, Task& task) {
   const auto& [job, attempt] = key;
   auto& jobs = environment_.jobs;
@@ -442,17 +448,18 @@
   tasks_.clear();
 }
 
-/// The task's next step, unless it has taken another step by then.
-void Worker::after(const TaskKey& key, double seconds, TaskAction action) {
+/// Schedules the task's next step. The action does not run if the task has taken another step by
+/// then.
+void Worker::schedule_step(const TaskKey& key, double seconds, TaskAction action) {
   const auto step = ++tasks_.at(key).step;
   environment_.simulator.schedule(Seconds(seconds),
                                   [weak = weak_from_this(), key, step, action = std::move(action)] {
                                     const auto self = weak.lock();
                                     if (!self || self->terminated) return;
-                                    self->when_awake([key, step, action](Worker& awake) {
-                                      const auto it = awake.tasks_.find(key);
-                                      if (it != awake.tasks_.end() && it->second.step == step)
-                                        action(awake, key, it->second);
+                                    self->run_when_resumed([key, step, action](Worker& worker) {
+                                      const auto it = worker.tasks_.find(key);
+                                      if (it != worker.tasks_.end() && it->second.step == step)
+                                        action(worker, key, it->second);
                                     });
                                   });
 }
