--- a/tests/load/leader_load.cpp
+++ b/tests/load/leader_load.cpp
@@ -1,8 +1,9 @@
-// A large fleet in simulated time, to count what the nodes spend. Run it under callgrind as
-// profile.sh does: the counts repeat, since everything comes from one seed.
+// Simulates a large fleet, to count the instructions that the nodes execute. profile.sh runs it
+// under callgrind. The counts are reproducible, because the whole run follows from one seed.
 //
 // Usage: asterstair_leader_load [machines per pool] [seconds] [takeover]
-// With `takeover` the leader ends then, and the run goes on until the next one has settled.
+// With `takeover` the leader crashes after these seconds, and the run continues for another 20 s,
+// in which another node takes over.
 
 #include <cstdio>
 #include <cstdlib>
@@ -17,15 +18,15 @@
 
 using namespace sim;
 
-constexpr double kTakeOverTime = 20;
+constexpr double kTakeoverTimeS = 20;
 
-// Named in profile.sh, which counts only what is spent within it.
+// profile.sh refers to this function by name and counts only the instructions within it.
 [[gnu::noinline]] void lose_leader(Scenario& scenario, double now) {
   const int leader = scenario.leader();
-  if (leader < 0) throw std::runtime_error("nobody leads");
-  scenario.crash(leader, kTakeOverTime);
-  scenario.run_until(now + kTakeOverTime);
-  if (scenario.leader() < 0) throw std::runtime_error("nobody has taken over");
+  if (leader < 0) throw std::runtime_error("no node leads before the crash");
+  scenario.crash(leader, kTakeoverTimeS);
+  scenario.run_until(now + kTakeoverTimeS);
+  if (scenario.leader() < 0) throw std::runtime_error("no node leads 20 s after the crash");
 }
 
 int run(int argc, char** argv) {
@@ -34,10 +35,10 @@
   const double length = argc > 2 ? std::strtod(argv[2], nullptr) : 60;
   Scenario scenario(7, per_pool);
   auto& simulator = scenario.simulator;
-  // Arrays like the sweeps, gangs and accelerator arrays, a little more than there is room for.
+  // Large arrays, gangs and accelerator arrays. Together they need slightly more than the capacity.
   const double machines = static_cast<double>(per_pool) * 12;
-  const double every = 60.0 / machines * 7;
-  for (double t = 1; t < length; t += simulator.uniform(0.5, 1.5) * every) {
+  const double interval = 60.0 / machines * 7;
+  for (double t = 1; t < length; t += simulator.uniform(0.5, 1.5) * interval) {
     simulator.schedule(Seconds(t), [&scenario, &simulator] {
       Submission job;
       job.requirements.team = "blue";
@@ -60,7 +61,7 @@
   if (argc > 3 && std::string_view(argv[3]) == "takeover") lose_leader(scenario, length);
   std::cout << scenario.cloud.running_workers().size() << " machines, " << scenario.checker.starts
             << " tasks started, " << scenario.checker.completed_tasks << " done, "
-            << scenario.heartbeats << " reports\n"
+            << scenario.heartbeats << " heartbeats\n"
             << scenario.checker.report();
   return scenario.checker.violations.empty() ? 0 : 1;
 }
@@ -73,7 +74,7 @@
   } catch (const std::exception& e) {
     std::fprintf(stderr, "%s\n", e.what());
   } catch (...) {
-    std::fputs("ended by an unknown exception\n", stderr);
+    std::fputs("terminated by an unknown exception\n", stderr);
   }
   return 1;
 }
--- a/tests/load/mixed_versions.cpp
+++ b/tests/load/mixed_versions.cpp
@@ -1,33 +1,36 @@
-// Two builds of the program in one deployment: three controller processes on loopback, in real
-// time, among the stand-ins of tests/sim. Each node in turn is killed and started again as the
-// other build while jobs run, first from OLD to NEW, then back.
+// Tests a rolling upgrade and a rollback between two builds of the program. The deployment has
+// three controller processes on loopback, in real time, with the simulated services of tests/sim.
+// Each node in turn is killed and restarted as the other build while jobs run, first from OLD to
+// NEW, then back.
 //
 // Usage: asterstair_mixed_versions OLD_BINARY NEW_BINARY [--base-port N] [--features FILE]
 //
 // For example, with a build of the last release in build-old:
 //   build/asterstair_mixed_versions build-old/asterstair build/asterstair
 //
-// It prints a line per scenario, and exits with 0 if all passed. It takes some minutes, needs the
-// ports from N on (24000 unless given; 500 for each of two deployments), and is no part of ctest
-// because it needs two builds. Both builds get the same features file, deploy/features.toml unless
-// given, as all nodes of a deployment do.
+// It prints a line per scenario, and exits with 0 if all passed. It takes some minutes and uses
+// 1000 ports starting at N (default 24000), 500 for each of two deployments. It is not part of
+// ctest, because it needs two builds. Both builds get the same features file (default
+// deploy/features.toml), as all nodes of a deployment do.
 //
 // 1. Roll forward. Three OLD nodes run an array, a gang and a job that is cancelled later. A
-//    follower becomes NEW. Then both OLD nodes are killed, the leader among them, so that NEW takes
-//    over from OLD. One of them comes back as OLD and runs under the NEW leader, then both become
-//    NEW. Before each kill tasks are seen to run; jobs are submitted to both builds while both run.
-//    In the end all nodes tell the same final stage of every job, and no rule of PROTOCOL that the
-//    checker of tests/sim judges by itself was broken: above all, no task ran twice at one time.
+//    follower is replaced by NEW. Then both OLD nodes, one of them the leader, are killed, so that
+//    NEW takes over from OLD. One of them restarts as OLD and runs under the NEW leader, then both
+//    are replaced by NEW. Tasks must be running before each kill, and jobs are submitted to both
+//    builds while both run. At the end all nodes must report the same final stage of every job, and
+//    the rule checker of tests/sim must have found no violation of PROTOCOL: most importantly, no
+//    task ran twice at the same time.
 // 2. Roll back: the same with OLD and NEW exchanged.
-// 3. Gossip. In both rolls, under a leader of each build: a follower of the other build tells the
-//    running tasks of a job that was submitted to another node. It knows them from gossip alone.
+// 3. Gossip. In both rolls, under a leader of each build: a follower of the other build must report
+//    the running tasks of a job that was submitted to another node. It can know them only from
+//    gossip.
 //
-// What this does not show: faults of the network and of the machines; a roll that ends halfway;
-// more than one takeover between builds in each direction; the provisioning commands of one build
-// on the records of the other. The checker's rules on starving and unanswered users are left out,
-// since they go by time. If leadership moves by itself before the takeover, as it may on a machine
-// that stalls for seconds, the run fails and says so. A signal that ends this program ends the
-// nodes too, but leaves the temporary directory.
+// Not covered: network and machine faults; a roll that stops halfway; more than one takeover
+// between builds in each direction; the provisioning commands of one build on the records of the
+// other. The checker's rules on starvation and unanswered queries are not checked, because they
+// depend on real time. If the leader changes before the intended takeover, which can happen on a
+// machine that stalls for seconds, the run fails with a message that says so. A signal that
+// terminates this program terminates the nodes too, but the temporary directory remains.
 
 #include <spdlog/spdlog.h>
 
@@ -44,19 +47,19 @@
 
 using namespace load;
 
-constexpr double kStepLimit = 180, kEndLimit = 300, kRollLimit = 800;  // s
-// By then both rolls have ended by themselves, unless something here hangs.
-constexpr unsigned kTotalLimit = 1800;
+constexpr double kStepLimitS = 180, kEndLimitS = 300, kRollLimitS = 800;
+// Longer than both rolls can take by kRollLimitS. A run that exceeds it hangs and is terminated.
+constexpr unsigned kTotalLimitS = 1800;
 constexpr int kDefaultPort = 24000;
 
 struct Build {
   std::string name, binary;
 };
 
-// What was seen of gossip between the builds.
+// Results of the gossip checks between the builds, one text per check.
 struct GossipResult {
-  static constexpr std::size_t kWanted = 4;
-  std::vector<std::string> seen, missed;
+  static constexpr std::size_t kChecks = 4;
+  std::vector<std::string> passed, failed;
 };
 
 Submission array_of(std::uint32_t tasks, double run_s) { return array_job(tasks, run_s); }
@@ -70,31 +73,33 @@
   return job;
 }
 
-// One deployment that changes from one build to the other.
+// Rolls one deployment from one build to the other.
 class Roll {
  public:
   Roll(RealDeployment& deployment, Build from, Build to, GossipResult& gossip)
       : deployment_(deployment), from_(std::move(from)), to_(std::move(to)), gossip_(gossip) {}
 
-  // Throws std::runtime_error if something is not as it must be.
+  // Throws std::runtime_error if a step fails.
   void run() {
     begin();
     replace_follower();
     take_over();
-    run_beside_old_peer();
+    run_under_new_leader();
     replace_others();
     finish();
   }
 
-  const std::string& seen() const { return seen_; }
+  // What the roll did; empty unless run() has returned.
+  const std::string& summary() const { return summary_; }
 
  private:
-  // Throws if the condition does not hold within the limit, or the whole roll takes too long.
+  // Throws if the condition does not hold within the limit or within the time limit of the whole
+  // roll.
   void require(const std::string& what, const std::function<bool()>& condition,
-               double limit_s = kStepLimit) {
-    const double limit = std::min(limit_s, kRollLimit - deployment_.simulator.elapsed());
+               double limit_s = kStepLimitS) {
+    const double limit = std::min(limit_s, kRollLimitS - deployment_.simulator.elapsed());
     if (deployment_.wait_for(condition, limit)) return;
-    throw std::runtime_error("not within " + std::to_string(static_cast<int>(limit)) +
+    throw std::runtime_error("timed out after " + std::to_string(static_cast<int>(limit)) +
                              " s: " + what);
   }
 
@@ -127,28 +132,28 @@
     last_ = (old_leader_ + 2) % RealDeployment::kNodes;
   }
 
-  // The leader and one follower stay as they are.
+  // Replaces one follower. The leader and the other follower keep running.
   void replace_follower() {
     start(first_, to_);
     check_gossip(first_, to_, from_, submit(array_of(4, 40), last_));
     require_running(submit(array_of(4, 60), first_));
   }
 
-  // The new node is the only one left.
+  // Kills both nodes of the first build, so that the replaced node must take over.
   void take_over() {
     if (deployment_.leader() != old_leader_) {
-      throw std::runtime_error("leadership moved by itself before the takeover");
+      throw std::runtime_error("the leader changed before the intended takeover");
     }
-    if (running_tasks() == 0) throw std::runtime_error("no task runs before the takeover");
-    at_takeover_ = running_tasks();
+    if (running_tasks() == 0) throw std::runtime_error("no task is running before the takeover");
+    tasks_before_takeover_ = running_tasks();
     deployment_.kill(last_);
     deployment_.kill(old_leader_);
     require(to_.name + " takes over from " + from_.name,
             [&] { return deployment_.leader() == first_; });
-    after_takeover_ = running_tasks();
+    tasks_after_takeover_ = running_tasks();
   }
 
-  void run_beside_old_peer() {
+  void run_under_new_leader() {
     start(last_, from_);
     check_gossip(last_, from_, to_, submit(array_of(4, 40), first_));
     require_running(submit(array_of(4, 40), last_));
@@ -170,7 +175,8 @@
     return tasks;
   }
 
-  // Only the leader knows of running tasks by itself. A failure is told by the third scenario.
+  // Checks that the follower reports running tasks of the job. Without gossip only the leader knows
+  // of them. The third scenario reports a failure.
   void check_gossip(int follower, const Build& build, const Build& leader_build,
                     const std::string& id) {
     std::uint64_t running = 0;
@@ -180,17 +186,18 @@
           if (answer.is_object()) running = answer.value("running", std::uint64_t{0});
           return running > 0 || ended(id);
         },
-        kStepLimit);
+        kStepLimitS);
     const auto what = build.name + " under a leader of " + leader_build.name;
     const bool leads = deployment_.leader() == follower;
     if (running > 0 && !leads) {
-      gossip_.seen.push_back(what + ": " + std::to_string(running) + " running");
+      gossip_.passed.push_back(what + ": " + std::to_string(running) + " running");
     } else {
-      gossip_.missed.push_back(what + (leads ? ": the node that was asked leads" : ": none"));
+      gossip_.failed.push_back(what +
+                               (leads ? ": the queried node is the leader" : ": none running"));
     }
   }
 
-  // Whether all nodes tell the final stage that the job must have.
+  // Whether all nodes report the expected final stage of the job.
   bool ended(const std::string& id) {
     const std::string stage = id == cancelled_ ? "withdrawn" : "done";
     for (int node = 0; node < RealDeployment::kNodes; ++node) {
@@ -204,28 +211,29 @@
     std::uint64_t tasks = 0, starts = 0;
     for (const auto& id : jobs_) {
       require(
-          id + " has ended, as all nodes tell it", [&] { return ended(id); }, kEndLimit);
+          id + " has ended on all nodes", [&] { return ended(id); }, kEndLimitS);
       tasks += deployment_.jobs.workloads.at(id).tasks;
       starts += deployment_.checker.starts_of(id);
     }
     if (const auto report = deployment_.checker.report(); !report.empty()) {
-      throw std::runtime_error("broken rules: " + report);
+      throw std::runtime_error("rules violated: " + report);
     }
-    seen_ = std::to_string(jobs_.size() - 1) + " jobs done and 1 withdrawn on all nodes, " +
-            std::to_string(tasks) + " tasks in " + std::to_string(starts) + " starts on " +
-            std::to_string(deployment_.cloud.requests.rented) + " rented machines; " + to_.name +
-            " took over from " + from_.name + " with " + std::to_string(at_takeover_) +
-            " tasks running before and " + std::to_string(after_takeover_) +
-            " after; no rule broken";
+    summary_ = std::to_string(jobs_.size() - 1) + " jobs done and 1 withdrawn on all nodes, " +
+               std::to_string(tasks) + " tasks in " + std::to_string(starts) + " starts on " +
+               std::to_string(deployment_.cloud.requests.rented) + " rented machines; " + to_.name +
+               " took over from " + from_.name + " with " + std::to_string(tasks_before_takeover_) +
+               " tasks running before and " + std::to_string(tasks_after_takeover_) +
+               " after; no rule violated";
   }
 
   RealDeployment& deployment_;
   const Build from_, to_;
   GossipResult& gossip_;
   std::vector<std::string> jobs_;
-  std::string cancelled_, seen_;
-  int old_leader_ = 0, first_ = 0, last_ = 0;  // nodes; of the others the one replaced first, last
-  std::size_t at_takeover_ = 0, after_takeover_ = 0;
+  std::string cancelled_, summary_;
+  // Nodes: the first leader, and the followers that are replaced first and last.
+  int old_leader_ = 0, first_ = 0, last_ = 0;
+  std::size_t tasks_before_takeover_ = 0, tasks_after_takeover_ = 0;
 };
 
 struct Arguments {
@@ -234,8 +242,8 @@
   int base_port = kDefaultPort;
 };
 
-void print(bool passed, const std::string& scenario, const std::string& seen) {
-  std::printf("%s %s: %s\n", passed ? "pass" : "FAIL", scenario.c_str(), seen.c_str());
+void print(bool passed, const std::string& scenario, const std::string& details) {
+  std::printf("%s %s: %s\n", passed ? "pass" : "FAIL", scenario.c_str(), details.c_str());
   std::fflush(stdout);
 }
 
@@ -251,7 +259,7 @@
       std::fputs(deployment.log_ends().c_str(), stderr);
       throw;
     }
-    print(true, scenario, steps.seen());
+    print(true, scenario, steps.summary());
     return true;
   } catch (const std::exception& e) {
     print(false, scenario, e.what());
@@ -261,13 +269,13 @@
 
 bool report_gossip(const GossipResult& gossip) {
   std::string text;
-  for (const auto* list : {&gossip.seen, &gossip.missed}) {
+  for (const auto* list : {&gossip.passed, &gossip.failed}) {
     for (const auto& line : *list) text += (text.empty() ? "" : "; ") + line;
   }
-  const bool passed = gossip.missed.empty() && gossip.seen.size() == GossipResult::kWanted;
+  const bool passed = gossip.failed.empty() && gossip.passed.size() == GossipResult::kChecks;
   print(passed, "gossip",
-        std::to_string(gossip.seen.size()) + " of " + std::to_string(GossipResult::kWanted) +
-            " followers told the counts: " + text);
+        std::to_string(gossip.passed.size()) + " of " + std::to_string(GossipResult::kChecks) +
+            " followers reported running tasks: " + text);
   return passed;
 }
 
@@ -286,14 +294,14 @@
   CLI11_PARSE(parser, argc, argv);
   spdlog::set_level(spdlog::level::off);
   std::signal(SIGPIPE, SIG_IGN);
-  alarm(kTotalLimit);  // ends this process, and its children with it
+  alarm(kTotalLimitS);  // terminates this process and thereby its children
   const auto& [older, newer, features, port] = arguments;
   GossipResult gossip;
   const bool forward = roll("roll forward", older, newer, arguments, port, gossip);
   const bool back =
       roll("roll back", newer, older, arguments, port + RealDeployment::kPorts, gossip);
-  const bool told = report_gossip(gossip);
-  return forward && back && told ? 0 : 1;
+  const bool gossip_passed = report_gossip(gossip);
+  return forward && back && gossip_passed ? 0 : 1;
 }
 
 }  // namespace
@@ -304,7 +312,7 @@
   } catch (const std::exception& e) {
     std::fprintf(stderr, "%s\n", e.what());
   } catch (...) {
-    std::fputs("ended by an unknown exception\n", stderr);
+    std::fputs("terminated by an unknown exception\n", stderr);
   }
   return 1;
 }
--- a/tests/load/profile.sh
+++ b/tests/load/profile.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Instructions that a node spends, by callgrind on seeded runs of a large fleet; the counts repeat.
+# Counts the instructions that a node executes, with callgrind on seeded simulations of a large fleet.
+# The counts are reproducible.
 # Usage: tests/load/profile.sh BUILD_DIR [leader|peers|takeover|start] [machines per pool] [seconds]
-#   leader    reports, questions and the loops of the node that leads
-#   peers     gossip to and from the peers, on all nodes
-#   takeover  the twenty seconds after the leader has ended, with what the stand-ins spend: look at
-#             the lines of the functions
-#   start     the program's start until its settings are read; seconds and machines do not matter
+#   leader    heartbeats, queries and the periodic work of the leader
+#   peers     sending and receiving gossip, on all nodes
+#   takeover  the twenty seconds after the leader's crash. The total includes the simulated services:
+#             read the lines of the single functions
+#   start     the program's start until its settings are read; ignores machines and seconds
 set -euo pipefail
 build=$1
 mode=${2:-leader}
@@ -13,7 +14,7 @@
 seconds=${4:-60}
 out=$(mktemp -d)
 
-profile() { # the toggled functions, then the program
+profile() { # arguments: functions to count, --, command; without functions it counts everything
   local toggles=()
   while [[ $1 != -- ]]; do
     toggles+=("--toggle-collect=$1")
--- a/tests/load/provisioning_failover.cpp
+++ b/tests/load/provisioning_failover.cpp
@@ -1,6 +1,6 @@
-// Time from the crash of the node that rents machines to the first rental of its successor, and
-// what the operation log writes, over seeds in simulated time; with and without the records of the
-// provisioning lease.
+// Measures, in simulated time and over several seeds, the failover of provisioning: the time from
+// the crash of the node that rents machines to its successor's first rental, and the writes to the
+// state service. Runs both without and with the records of the provisioning lease.
 //
 // Usage: asterstair_provisioning_failover [runs] [machines per pool]
 
@@ -18,19 +18,19 @@
 using namespace sim;
 
 struct Result {
-  double seconds = 0;  // to the first rental
-  std::uint64_t writes = 0, bytes = 0;
+  double seconds = 0;                   // from the crash to the first rental
+  std::uint64_t writes = 0, bytes = 0;  // to the state service
   std::size_t rentals = 0;
 };
 
-Result take_over(std::uint64_t seed, std::size_t per_pool, bool recorded) {
+Result measure_failover(std::uint64_t seed, std::size_t per_pool, bool recorded) {
   Scenario scenario(seed, per_pool, 3, {}, Features{recorded});
-  const auto fill = static_cast<std::uint32_t>(per_pool * 16);
-  scenario.users.submit(array_job(fill, 400));
+  const auto tasks = static_cast<std::uint32_t>(per_pool * 16);
+  scenario.users.submit(array_job(tasks, 400));
   scenario.run_until(60);
   scenario.crash(scenario.leader(), 300);
-  // More work than the machines hold: the successor is to rent at once.
-  scenario.users.submit(array_job(fill, 400));
+  // More tasks than the machines have room for, so that the successor must rent at once.
+  scenario.users.submit(array_job(tasks, 400));
   const auto before = scenario.cloud.requests.rentals.size();
   double t = 60;
   while (scenario.cloud.requests.rentals.size() == before && t < 160) scenario.run_until(t += 0.1);
@@ -40,7 +40,8 @@
 
 void measure(std::size_t runs, std::size_t per_pool, bool recorded) {
   std::vector<Result> results;
-  for (std::size_t i = 0; i < runs; ++i) results.push_back(take_over(100 + i, per_pool, recorded));
+  for (std::size_t i = 0; i < runs; ++i)
+    results.push_back(measure_failover(100 + i, per_pool, recorded));
   std::sort(results.begin(), results.end(),
             [](const Result& a, const Result& b) { return a.seconds < b.seconds; });
   Result sum;
--- a/tests/load/real_deployment.cpp
+++ b/tests/load/real_deployment.cpp
@@ -17,24 +17,24 @@
 
 namespace {
 
-// Ports of a deployment, from its first one: the nodes' for users and workers, then these.
+// Offsets from a deployment's first port. The nodes' API ports come first, at offsets 0 to 2.
 constexpr int kGossipPorts = 10, kStatePort = 20, kCloudPort = 21, kWorkerPorts = 30;
 
-// Where the settings and the cloud of tests/sim place what is on loopback here.
+// Addresses that the settings and the cloud of tests/sim use. Here they are mapped to loopback.
 constexpr const char* kSimulatedState = "10.2.0.1:2379";
 constexpr const char* kSimulatedCloud = "10.2.0.2:8443";
 constexpr std::string_view kWorkerHosts = "10.1.0.", kWorkerPort = ":9000";
 
-// The users' address for all nodes.
+// The address to which the simulated users send all requests; node_for() selects the node.
 constexpr const char* kAnyNode = "any-node";
 
 constexpr auto kClockStep = 2ms, kConditionStep = 100ms;
-constexpr auto kNodeTimeout = 30s, kStandInTimeout = 120s, kQuestionTimeout = 5s;
-constexpr std::size_t kMostConnections = 500, kMachinesPerPool = 4;
+constexpr auto kNodeTimeout = 30s, kSimulatedServiceTimeout = 120s, kQueryTimeout = 5s;
+constexpr std::size_t kMaxConnections = 500, kMachinesPerPool = 4;
 constexpr int kExecFailed = 127;
 
-// Workers keep their tasks while one leader follows another: the leader's time to live, which
-// follows from these, is about half of their lease.
+// Workers must keep their tasks during a failover. The leader lease, which is derived from these
+// times, is about half as long as the workers' leases.
 constexpr Timing kTiming{
     .report_s = 1, .lease_s = 20, .gang_wait_s = 20, .gang_peer_s = 2, .cancel_s = 33};
 
@@ -64,7 +64,7 @@
   }
 }
 
-// Ends with this process, however that ends.
+// Starts a child process. The kernel kills it when this process ends for any reason.
 pid_t spawn(std::vector<std::string> arguments, const std::string& log_file) {
   std::vector<char*> pointers;
   pointers.reserve(arguments.size() + 1);
@@ -100,9 +100,9 @@
       features_file_(std::move(features_file)),
       first_port_(first_port),
       began_(Clock::now()) {
-  if (uv_loop_init(&loop_) != 0) throw std::runtime_error("cannot make a loop");
-  client_ = std::make_unique<net::HttpClient>(&loop_, kMostConnections);
-  // Only so that the loop wakes up.
+  if (uv_loop_init(&loop_) != 0) throw std::runtime_error("cannot create the event loop");
+  client_ = std::make_unique<net::HttpClient>(&loop_, kMaxConnections);
+  // The timer does nothing: it wakes up the loop, so that run_for() can advance the simulation.
   uv_timer_init(&loop_, &timer_);
   uv_timer_start(
       &timer_, [](uv_timer_t*) {}, kClockStep.count(), kClockStep.count());
@@ -111,16 +111,16 @@
     const auto node = static_cast<std::size_t>(i);
     network.listen(node_list.addresses[node], node_list.names[node],
                    [this, i](const HttpRequest& request, const Respond& respond) {
-                     pass_to_node(i, request, respond);
+                     forward_to_node(i, request, respond);
                    });
     write_settings(i);
   }
   network.listen(kAnyNode, kAnyNode, [this](const HttpRequest& request, const Respond& respond) {
-    pass_to_node(node_for(request), request, respond);
+    forward_to_node(node_for(request), request, respond);
   });
   serve(kSimulatedState, loopback(first_port_ + kStatePort));
   serve(kSimulatedCloud, loopback(first_port_ + kCloudPort));
-  keep_time();
+  schedule_clock_tick();
 }
 
 RealDeployment::~RealDeployment() {
@@ -168,7 +168,7 @@
     auto& process = processes_.at(static_cast<std::size_t>(node));
     if (process == 0 || waitpid(process, nullptr, WNOHANG) != process) continue;
     process = 0;
-    throw std::runtime_error("node " + std::to_string(node) + " ended by itself");
+    throw std::runtime_error("node " + std::to_string(node) + " exited unexpectedly");
   }
 }
 
@@ -188,15 +188,16 @@
 
 // ---- Time ----
 
-/// Runs what the simulation was to do until now.
+/// Runs all simulated actions that are due by now.
 void RealDeployment::advance() {
   simulator.run_until(seconds(Clock::now() - began_));
   serve_new_workers();
 }
 
-/// The simulator's clock stands where the last action was due, so that there must always be one.
-void RealDeployment::keep_time() {
-  simulator.schedule(kClockStep, [this] { keep_time(); });
+/// Schedules an empty action every kClockStep. The simulator's clock advances only to the time of
+/// the last action that it ran, so without actions it would fall behind.
+void RealDeployment::schedule_clock_tick() {
+  simulator.schedule(kClockStep, [this] { schedule_clock_tick(); });
 }
 
 void RealDeployment::run_for(Duration time) {
@@ -217,9 +218,10 @@
   return true;
 }
 
-// ---- The bridge ----
+// ---- Connection between the processes and the simulation ----
 
-/// The text with the workers' addresses as nodes reach them. The cloud and the workers write them.
+/// Replaces the workers' simulated addresses in the text, as the cloud and the workers send them,
+/// by the loopback addresses at which nodes reach the workers.
 std::string RealDeployment::on_loopback(std::string text) const {
   for (auto at = text.find(kWorkerHosts); at != std::string::npos; at = text.find(kWorkerHosts)) {
     const auto number = at + kWorkerHosts.size();
@@ -233,12 +235,12 @@
   return text;
 }
 
-/// Passes the requests to the real address on to the simulated one. The nodes get no answer where
-/// the simulation gives none.
+/// Forwards requests from the real address to the simulated one. If the simulated request gets no
+/// response, neither does the node.
 void RealDeployment::serve(const std::string& simulated_address, const std::string& address) {
   const auto handle = [this, simulated_address](HttpRequest request, const net::Respond& respond) {
     advance();
-    network.http("nodes", simulated_address, std::move(request), kStandInTimeout,
+    network.http("nodes", simulated_address, std::move(request), kSimulatedServiceTimeout,
                  [this, respond](HttpResponse response) {
                    if (response.status == 0) return;
                    response.body = on_loopback(std::move(response.body));
@@ -257,9 +259,9 @@
   }
 }
 
-void RealDeployment::pass_to_node(int node, const HttpRequest& request, const Respond& respond) {
-  const HttpRequest passed{request.method, request.target, on_loopback(request.body)};
-  client_->send(node_list.addresses[static_cast<std::size_t>(node)], passed, kNodeTimeout,
+void RealDeployment::forward_to_node(int node, const HttpRequest& request, const Respond& respond) {
+  const HttpRequest forwarded{request.method, request.target, on_loopback(request.body)};
+  client_->send(node_list.addresses[static_cast<std::size_t>(node)], forwarded, kNodeTimeout,
                 [this, node, request, respond](HttpResponse response) {
                   advance();
                   note_leader(node, request, response);
@@ -279,7 +281,8 @@
 
 // ---- Users ----
 
-/// What changes a job goes to the node that was chosen for it; questions go to one after another.
+/// Submissions and cancellations of a job go to the node that was set for the job; queries go to
+/// all nodes in turn.
 int RealDeployment::node_for(const HttpRequest& request) {
   if (request.method == "POST") {
     for (const auto& [id, node] : node_of_job_) {
@@ -291,7 +294,7 @@
 }
 
 std::string RealDeployment::submit(const Submission& job, int node) {
-  auto id = users.submit(job);  // which sends it when time goes on
+  auto id = users.submit(job);  // the request is routed only when time advances
   node_of_job_[id] = node;
   return id;
 }
@@ -303,15 +306,15 @@
 
 HttpResponse RealDeployment::get(int node, const std::string& target) {
   struct Answer {
-    bool here = false;
+    bool received = false;
     HttpResponse response;
   };
   const auto answer = std::make_shared<Answer>();
   network.http("users", node_list.addresses[static_cast<std::size_t>(node)], {"GET", target, ""},
-               kQuestionTimeout, [answer](HttpResponse response) {
+               kQueryTimeout, [answer](HttpResponse response) {
                  *answer = {true, std::move(response)};
                });
-  while (!answer->here) run_for(kClockStep);
+  while (!answer->received) run_for(kClockStep);
   return answer->response;
 }
 
--- a/tests/load/real_deployment.hpp
+++ b/tests/load/real_deployment.hpp
@@ -1,5 +1,5 @@
 #pragma once
-// Controllers as real processes on loopback, among the stand-ins of tests/sim.
+// Controllers as real processes on loopback, with the simulated services of tests/sim.
 
 #include <sys/types.h>
 #include <uv.h>
@@ -23,52 +23,54 @@
 
 using namespace sim;
 
-/// Three controller processes, and the stand-ins of tests/sim for all around them. Simulated time
-/// follows the steady clock, and HTTP on loopback joins both sides: what a stand-in sends to a
-/// node's address in the simulated network goes to the process, and each stand-in that nodes call
-/// has a server, which passes requests to the simulated network. Gossip goes between the processes.
+/// Three controller processes with the simulated services of tests/sim: state service, cloud,
+/// workers and users. Simulated time follows the steady clock. HTTP on loopback connects both
+/// sides: a request to a node's address in the simulated network is forwarded to the node's
+/// process, and each simulated service that nodes call has an HTTP server that forwards requests to
+/// the simulated network. Gossip is sent directly between the processes.
 ///
-/// Before a message enters the simulation, simulated time catches up with the clock. So a worker
-/// whose lease has run out ends its tasks before it or any other worker reads a new command, even
-/// if this process was held up.
+/// Simulated time catches up with the clock before a message enters the simulation. So a worker
+/// whose lease has expired ends its tasks before any worker reads a new command, even if this
+/// process was delayed.
 class RealDeployment {
  public:
-  static constexpr int kNodes = 3;
-  /// Ports that a deployment may use, from its first one.
+  static constexpr int kNodes = 3;  ///< number of controllers
+  /// Number of ports that a deployment may use, starting at its first port.
   static constexpr int kPorts = 500;
 
-  /// Listens for the stand-ins. Settings and logs go into `directory`, which must exist.
+  /// Starts the servers of the simulated services. Settings and logs are written to `directory`,
+  /// which must exist.
   RealDeployment(std::string directory, std::string features_file, int first_port);
-  /// Ends the processes.
+  /// Kills the processes.
   ~RealDeployment();
   RealDeployment(const RealDeployment&) = delete;
   RealDeployment& operator=(const RealDeployment&) = delete;
 
-  /// Starts the node with this build of the program.
+  /// Starts the node with this binary, after killing its process if there is one.
   void start(int node, const std::string& binary);
   /// Kills the node's process.
   void kill(int node);
-  /// The node whose answer to a worker's heartbeat had the highest fencing token; -1 if that node
-  /// was killed, or if there was none yet.
+  /// The node that answered a worker's heartbeat with the highest fencing token so far; -1 if that
+  /// node was killed, or if no heartbeat was accepted yet.
   int leader() const { return leader_; }
 
-  /// Runs everything until the condition holds. False if it does not within `limit_s`. Throws
-  /// std::runtime_error if a process has ended by itself.
+  /// Runs the deployment until the condition holds. Returns false if it does not hold within
+  /// `limit_s`. Throws std::runtime_error if a process exits unexpectedly.
   bool wait_for(const std::function<bool()>& condition, double limit_s);
 
-  /// Submits a job through this node, and repeats that until it is accepted. Returns its id.
+  /// Submits a job through this node and retries until it is accepted. Returns the job's id.
   std::string submit(const Submission& job, int node);
-  /// Cancels a job through this node, and repeats that until it is answered.
+  /// Cancels a job through this node and retries until the cancellation is confirmed.
   void cancel(const std::string& id, int node);
-  /// Whether the node says that it can take requests.
+  /// Whether the node reports that it is ready.
   bool is_ready(int node);
-  /// What the node answers about a job; null if it does not answer 200.
+  /// The node's answer to a query for a job; null unless its status is 200.
   Json ask(int node, const std::string& id);
 
   /// The last lines of the nodes' logs.
   std::string log_ends() const;
 
-  Simulator simulator{1};
+  Simulator simulator{1};  ///< its clock follows the steady clock
   Network network{simulator};
   const Timing timing;
   const NodeList node_list;
@@ -83,12 +85,12 @@
   void write_settings(int node) const;
   std::string on_loopback(std::string text) const;
   void advance();
-  void keep_time();
+  void schedule_clock_tick();
   void run_for(Duration time);
   void check_processes();
   void serve(const std::string& simulated_address, const std::string& address);
   void serve_new_workers();
-  void pass_to_node(int node, const HttpRequest& request, const Respond& respond);
+  void forward_to_node(int node, const HttpRequest& request, const Respond& respond);
   void note_leader(int node, const HttpRequest& request, const HttpResponse& response);
   int node_for(const HttpRequest& request);
   HttpResponse get(int node, const std::string& target);
--- a/tests/load/temporary_directory.hpp
+++ b/tests/load/temporary_directory.hpp
@@ -8,12 +8,14 @@
 
 namespace load {
 
-/// A new directory, which goes with all that is in it.
+/// A new temporary directory, which the destructor deletes with its contents.
 class TemporaryDirectory {
  public:
+  /// Creates the directory. Throws std::runtime_error on failure.
   TemporaryDirectory() {
     path_ = (std::filesystem::temp_directory_path() / "mixed-versions-XXXXXX").string();
-    if (mkdtemp(path_.data()) == nullptr) throw std::runtime_error("cannot make " + path_);
+    if (mkdtemp(path_.data()) == nullptr)
+      throw std::runtime_error("cannot create directory " + path_);
   }
   ~TemporaryDirectory() {
     std::error_code ignored;
@@ -22,6 +24,7 @@
   TemporaryDirectory(const TemporaryDirectory&) = delete;
   TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
 
+  /// The directory's path.
   const std::string& path() const { return path_; }
 
  private:
--- a/tests/load/traffic_digest.cpp
+++ b/tests/load/traffic_digest.cpp
@@ -1,6 +1,6 @@
-// Runs seeded simulations with faults and prints, for each, a digest of everything that the nodes
-// send: their requests, their responses, and their messages to one another. A change that keeps the
-// program's behaviour keeps every digest.
+// Runs seeded simulations with faults and prints, for each, a digest of all messages that the nodes
+// send: requests, responses and gossip. A change that preserves the program's behaviour preserves
+// every digest.
 //
 // Usage: asterstair_traffic_digest [seconds] [seed]
 
@@ -32,14 +32,14 @@
  private:
   static constexpr std::uint64_t kOffsetBasis = 0xcbf29ce484222325ULL;
   static constexpr std::uint64_t kPrime = 0x100000001b3ULL;
-  static constexpr unsigned char kSeparator = 0xff;  // in no UTF-8 text
+  static constexpr unsigned char kSeparator = 0xff;  // never occurs in UTF-8 text
 
   void add_byte(unsigned char byte) { value_ = (value_ ^ byte) * kPrime; }
 
   std::uint64_t value_ = kOffsetBasis;
 };
 
-// Digests what the scenario's nodes send.
+// Computes a digest of all messages that the scenario's nodes send.
 class TrafficRecorder {
  public:
   explicit TrafficRecorder(Scenario& scenario) {
@@ -143,7 +143,7 @@
   } catch (const std::exception& e) {
     std::fprintf(stderr, "%s\n", e.what());
   } catch (...) {
-    std::fputs("ended by an unknown exception\n", stderr);
+    std::fputs("terminated by an unknown exception\n", stderr);
   }
   return 1;
 }
