--- a/tests/late_message_test.cpp
+++ b/tests/late_message_test.cpp
@@ -23,7 +23,7 @@
                         [&status](const HttpResponse& response) { status = response.status; });
 }
 
-// A machine has sent the new leader a heartbeat with the old_leader token. Its next heartbeat is
+// A machine has sent the new leader a heartbeat with the old leader's token. Its next heartbeat is
 // delayed until its lease has expired and its tasks have started elsewhere. If the leader applied
 // it, the tasks would count as running on both machines. Guard: Machine::first_valid_epoch, set by
 // LeaseMonitor.
